--- a/crates/delivery-control/tests/controller/admission.rs
+++ b/crates/delivery-control/tests/controller/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of messages to the buffer.
+//! Admission of messages to the buffer, and load shedding when it is nearly full.
 
 use delivery_control::{Action, AttemptOutcome};
 
@@ -7,6 +7,8 @@
     IDEMPOTENT_WITH_KEY, SECOND,
 };
 
+/// Guards against messages for a healthy destination that are rejected because the backlog of an unreachable
+/// one fills the buffer.
 #[test]
 fn full_buffer_sheds_messages_for_the_unreachable_destination() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
--- a/crates/delivery-control/tests/controller/controller.rs
+++ b/crates/delivery-control/tests/controller/controller.rs
@@ -1,4 +1,4 @@
-//! Properties of the controller as a whole: determinism, and events that refer to nothing.
+//! Properties of the controller as a whole: determinism, and events about unknown messages and endpoints.
 
 use delivery_control::{AttemptOutcome, Event};
 
@@ -7,6 +7,8 @@
     ControllerHarness, IDEMPOTENT, IDEMPOTENT_WITH_KEY, MILLISECOND, SECOND,
 };
 
+/// Guards against state shared between controllers and against other sources of nondeterminism: the actions
+/// must depend only on the settings, the seed, and the events with their times.
 #[test]
 fn same_events_give_same_actions_beside_another_controller() {
     let run = |with_another: bool| {
@@ -26,6 +28,8 @@
     assert_eq!(run(false), run(true));
 }
 
+/// Guards against panics and stray actions on events about messages that have ended or were never submitted,
+/// and about endpoints that were never listed.
 #[test]
 fn events_about_unknown_messages_and_endpoints_are_ignored() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
--- a/crates/delivery-control/tests/controller/endpoints.rs
+++ b/crates/delivery-control/tests/controller/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: draining and relisted endpoints, and a subscription that fails.
+//! The endpoint list: draining endpoints, endpoints that are listed again, and a subscription that fails.
 
 use delivery_control::{
     Action, Controller, DiscoveryMode, EndpointEntry, Event, ListingState, Settings, UpdateKind,
@@ -10,6 +10,8 @@
     SECOND, SHARED_LIMIT,
 };
 
+/// Guards against calls to an endpoint after it was listed as draining, and against messages without an
+/// available endpoint that are rejected after their deadline, or long before it.
 #[test]
 fn draining_takes_effect_at_once_and_unroutable_messages_are_rejected_in_time() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -27,11 +29,13 @@
         let rejection = later
             .iter()
             .find(|(_, action)| matches!(action, Action::Reject { id: other, .. } if *other == id));
-        let (at, _) = rejection.expect("rejected in time");
+        let (at, _) = rejection.expect("a message without an available endpoint was not rejected");
         assert!(*at > start + 15 * SECOND && *at <= start + 20 * SECOND);
     }
 }
 
+/// Guards against an endpoint that is listed again under another destination and still gets messages for the
+/// old one, or gets calls before the Retry-After of its earlier rejection is over.
 #[test]
 fn relisted_endpoint_takes_its_new_destination_and_keeps_its_retry_after() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -58,6 +62,8 @@
     assert!(!later.is_empty());
 }
 
+/// Guards against a sender that gives up on discovery after a failed subscription, or retries at a constant
+/// interval while discovery is down.
 #[test]
 fn failed_subscription_is_retried_with_growing_backoff() {
     let settings = Settings { discovery: DiscoveryMode::Subscribe, ..settings() };
@@ -78,5 +84,5 @@
         }
         backoffs.push(now - start);
     }
-    assert!(backoffs.windows(2).all(|pair| pair[1] > pair[0]), "{backoffs:?}");
+    assert!(backoffs.windows(2).all(|pair| pair[1] > pair[0]), "the backoff must grow: {backoffs:?}");
 }
--- a/crates/delivery-control/tests/controller/fleet_slow_start.rs
+++ b/crates/delivery-control/tests/controller/fleet_slow_start.rs
@@ -1,5 +1,5 @@
-//! A whole fleet on one clock against one endpoint that comes back cold: the sum of all senders' calls must
-//! stay within what the settings allow it, and use it.
+//! A fleet of senders on one clock, and an endpoint that is cold after an outage: the calls of all senders
+//! together must stay within the load that the settings permit, and must make use of it.
 
 mod simulation;
 
@@ -8,28 +8,33 @@
 use crate::support::{settings, SECOND};
 use simulation::{simulate, Call, Fleet, BACK_AT, END_AT};
 
-/// Numbers of senders, and how many seeds are run with each.
+/// Numbers of senders, each with the number of seeds that are run.
 const FLEET_SIZES: [(u32, u64); 5] = [(1, 20), (2, 20), (20, 12), (30, 12), (350, 2)];
-/// Messages per second for the endpoint.
+/// Messages per second for the endpoint, from all clients.
 const DEMANDS: [f64; 2] = [4.0, 30.0];
 
-/// Guards against a slow start that each sender keeps and the fleet does not.
+/// Guards against a slow start that each sender respects while the fleet as a whole overloads the endpoint.
 #[test]
 fn fleet_does_not_overload_a_recovered_endpoint_of_a_listed_rate() {
     check_fleets(|fleet| fleet);
 }
 
+/// Guards against a slow start by which the fleet overloads an endpoint without a listed rate, whose capacity
+/// senders can only estimate from demand.
 #[test]
 fn fleet_does_not_overload_a_recovered_endpoint_of_unknown_capacity() {
     check_fleets(|fleet| Fleet { listed_rate: 0.0, ..fleet });
 }
 
+/// Guards against a slow start by which the fleet overloads an endpoint after an outage in which calls get no
+/// response, so that senders detect the outage only after some time.
 #[test]
 fn fleet_does_not_overload_a_recovered_endpoint_that_was_unresponsive() {
     check_fleets(|fleet| Fleet { is_unresponsive: true, ..fleet });
     check_fleets(|fleet| Fleet { is_unresponsive: true, listed_rate: 0.0, ..fleet });
 }
 
+/// Guards against a slow start that follows the listed rate although the endpoint reports a lower limit.
 #[test]
 fn fleet_respects_a_reported_limit_below_the_listed_rate() {
     check_fleets(|fleet| Fleet {
@@ -39,14 +44,15 @@
     });
 }
 
-/// The estimate of its capacity is too high: it serves no more than is submitted, or less than is listed.
+/// Guards against overload where the estimated capacity is too high: the endpoint can serve only as many
+/// messages as are submitted, or less than its listed rate.
 #[test]
 fn fleet_does_not_overload_an_endpoint_with_less_capacity_than_estimated() {
     check_fleets(|fleet| Fleet { listed_rate: 0.0, capacity: fleet.demand, ..fleet });
     check_fleets(|fleet| Fleet { listed_rate: 1.3 * fleet.capacity, ..fleet });
 }
 
-/// Checks fleets of all sizes and demands, with this change to each.
+/// Checks fleets of all sizes and demands, each after `change` was applied to it.
 fn check_fleets(change: impl Fn(Fleet) -> Fleet) {
     for (sender_count, seeds) in FLEET_SIZES {
         for demand in DEMANDS {
@@ -64,53 +70,59 @@
     }
 }
 
-/// The endpoint is never overloaded, and its capacity is used.
+/// Checks with several seeds that the fleet never overloads the endpoint, and that it uses the capacity.
 fn check_fleet(fleet: Fleet, seeds: u64) {
-    let mut used = 0;
+    let mut call_count = 0;
     for seed in 0..seeds {
         let calls = simulate(fleet, seed);
         let excess = greatest_excess(fleet, &calls);
         assert!(
             excess <= 0.0,
-            "{excess:.1} calls too many, {} senders, seed {seed}: {calls:?}",
+            "{excess:.1} calls above the limit, {} senders, seed {seed}: {calls:?}",
             fleet.sender_count
         );
-        used += calls.len();
+        call_count += calls.len();
     }
-    // Half of what is submitted in the meantime, or a quarter of the capacity.
+    // Half of the messages submitted in this time or a quarter of the capacity, whichever is less.
     let span = (END_AT - BACK_AT) as f64 / SECOND as f64;
-    let least = (0.5 * fleet.demand).min(0.25 * fleet.capacity) * span;
-    let mean = used as f64 / seeds as f64;
-    assert!(mean >= least, "{} senders used {mean} calls, {least} wanted", fleet.sender_count);
+    let min_calls = (0.5 * fleet.demand).min(0.25 * fleet.capacity) * span;
+    let mean = call_count as f64 / seeds as f64;
+    assert!(
+        mean >= min_calls,
+        "{} senders made {mean} calls on average, at least {min_calls} required",
+        fleet.sender_count
+    );
 }
 
-/// The most by which, while the endpoint is cold, the calls of senders that met the outage exceed the
-/// admissible number and the spread of chance, within the overload tolerance from any of these calls on.
+/// Returns the greatest number of calls above what is admissible, plus a margin for random variation, in any
+/// window that has the length of the overload tolerance, starts with a call and ends before the endpoint is
+/// warm. Counts only calls of senders that observed the outage.
 fn greatest_excess(fleet: Fleet, calls: &[Call]) -> f64 {
     let rules = settings().rules;
-    let met_outage = calls.iter().filter(|call| call.sender_met_outage);
-    let sent_at: Vec<Micros> = met_outage.map(|call| call.sent_at).collect();
+    let from_observers = calls.iter().filter(|call| call.sender_observed_outage);
+    let sent_at: Vec<Micros> = from_observers.map(|call| call.sent_at).collect();
     let mut greatest = f64::NEG_INFINITY;
     for from in &sent_at {
         let until = *from + rules.overload_tolerance;
-        // Once warm, it bears its full load.
+        // A warm endpoint can serve its full load.
         if until > rules.warm_up_time {
             continue;
         }
-        let within = sent_at.iter().filter(|at| (*from..until).contains(*at)).count() as f64;
+        let calls_in_window = sent_at.iter().filter(|at| (*from..until).contains(*at)).count() as f64;
         let admissible = admissible_calls(fleet, *from);
-        greatest = greatest.max(within - (admissible + 2.0 * admissible.sqrt() + 2.0));
+        greatest = greatest.max(calls_in_window - (admissible + 2.0 * admissible.sqrt() + 2.0));
     }
     greatest
 }
 
-/// Calls that the endpoint bears within the overload tolerance from this time after its return on.
+/// Returns the number of calls that the endpoint can take without failing in a window that has the length of
+/// the overload tolerance and starts at `from`, counted from the endpoint's return.
 fn admissible_calls(fleet: Fleet, from: Micros) -> f64 {
     let rules = settings().rules;
-    let warm_share = |at: Micros| {
+    let capacity_share = |at: Micros| {
         let grown = (1.0 - rules.initial_capacity) * at as f64 / rules.warm_up_time as f64;
         (rules.initial_capacity + grown).min(1.0)
     };
-    let mean = f64::midpoint(warm_share(from), warm_share(from + rules.overload_tolerance));
+    let mean = f64::midpoint(capacity_share(from), capacity_share(from + rules.overload_tolerance));
     rules.overload_factor * fleet.capacity * mean * rules.overload_tolerance as f64 / SECOND as f64
 }
--- a/crates/delivery-control/tests/controller/fleet_slow_start/simulation.rs
+++ b/crates/delivery-control/tests/controller/fleet_slow_start/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet of controllers on one clock, uneven traffic, and an endpoint that is down for a while.
+//! Simulates a fleet of controllers on one clock, uneven traffic, and an endpoint that is down for a while.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,19 +13,21 @@
     MILLISECOND, SECOND, SHARED_LIMIT,
 };
 
-/// When the endpoint goes down, after the start.
+/// Time from the start of the run until the endpoint goes down.
 const DOWN_AT: Micros = 6 * SECOND;
-/// When the endpoint is back.
+/// Time from the start of the run until the endpoint is back.
 pub const BACK_AT: Micros = 14 * SECOND;
-/// When the run ends.
+/// Length of the run.
 pub const END_AT: Micros = 26 * SECOND;
-/// Time from the start of a call to its answer.
+/// Time from the start of a call to its response; a call that times out takes longer.
 const RESPONSE_TIME: Micros = 50 * MILLISECOND;
-/// The endpoint that goes down, and its destination.
+/// The endpoint that goes down.
 const FAILING_ENDPOINT: EndpointId = 1;
+/// Destination of the endpoint that goes down.
 const FAILING_DESTINATION: DestinationId = 10;
-/// The first of the destinations of the same traffic that never fail, and their number.
+/// The first of the destinations that never fail; each has the same demand as the failing one.
 const FIRST_HEALTHY_DESTINATION: DestinationId = 100;
+/// Number of destinations that never fail.
 const HEALTHY_DESTINATIONS: u64 = 4;
 
 /// The senders, the traffic, and the endpoint that goes down.
@@ -37,50 +39,51 @@
     pub demand: f64,
     /// Calls per second that the endpoint serves when it is warm.
     pub capacity: f64,
-    /// Its listed rate; 0 if none is listed.
+    /// The endpoint's listed rate in calls per second; 0 if none is listed.
     pub listed_rate: f64,
-    /// The limit that its answers report, if they do.
+    /// The limit in calls per second that the endpoint's responses report, if they report one.
     pub reported_limit: Option<f64>,
-    /// While it is down, calls to it are never answered; otherwise they fail at once.
+    /// Whether calls to the endpoint get no response and time out while it is down; otherwise they fail to
+    /// connect.
     pub is_unresponsive: bool,
 }
 
-/// A call to the endpoint after its return.
+/// A call to the endpoint that went down, made after its return.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
-    /// Time since the return.
+    /// Time of the call, counted from the endpoint's return.
     pub sent_at: Micros,
-    /// The sender had a call end that it sent during the outage.
-    pub sender_met_outage: bool,
+    /// An earlier call that the sender made during the outage had ended by then.
+    pub sender_observed_outage: bool,
 }
 
-/// Something that happens at a sender.
+/// An event at one sender, in the queue of the simulation.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Scheduled {
+struct ScheduledEvent {
     at: Micros,
     /// Index of the sender.
     sender: usize,
-    what: Occurrence,
+    kind: EventKind,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Occurrence {
+enum EventKind {
     Submission(DestinationId),
     CallEnd { id: MessageId, attempt: u32, endpoint: EndpointId, elapsed: Micros },
     Timer,
 }
 
-/// Runs the fleet with random traffic; returns the calls to the endpoint from its return on.
+/// Runs the fleet with random traffic; returns the calls to the failing endpoint from its return on.
 pub fn simulate(fleet: Fleet, seed: u64) -> Vec<Call> {
     let mut random = fastrand::Rng::with_seed(seed);
     let senders = start_senders(fleet, &mut random);
     let start = senders[0].now;
-    let sender_met_outage = vec![false; senders.len()];
+    let sender_observed_outage = vec![false; senders.len()];
     let mut simulation = Simulation {
         fleet,
         start,
         senders,
-        sender_met_outage,
+        sender_observed_outage,
         queue: BinaryHeap::new(),
         last_id: 0,
         calls: Vec::new(),
@@ -99,7 +102,7 @@
     let settings = Settings {
         sender_count: fleet.sender_count,
         rates_are_listed: fleet.listed_rate > 0.0,
-        // A single sender has capacity for all messages.
+        // A single sender must be able to buffer and send the messages for the whole fleet.
         limits: Limits { max_in_flight: 60, buffer_capacity: 2_000, ..settings().limits },
         ..settings()
     };
@@ -116,7 +119,7 @@
     senders
 }
 
-/// A draw from the exponential distribution with mean 1.
+/// Draws from the exponential distribution with mean 1.
 fn exponential(random: &mut fastrand::Rng) -> f64 {
     -random.f64().max(1e-9).ln()
 }
@@ -125,14 +128,15 @@
     fleet: Fleet,
     start: Micros,
     senders: Vec<ControllerHarness>,
-    sender_met_outage: Vec<bool>,
-    queue: BinaryHeap<Reverse<Scheduled>>,
+    sender_observed_outage: Vec<bool>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     last_id: MessageId,
     calls: Vec<Call>,
 }
 
 impl Simulation {
-    /// Draws the times of all submissions and which sender gets each: some get several times the mean.
+    /// Draws the time of each submission and the sender that gets it. The traffic is uneven: some senders get
+    /// several times the mean.
     fn schedule_submissions(&mut self, random: &mut fastrand::Rng) {
         let weights: Vec<f64> = self.senders.iter().map(|_| 0.2 + exponential(random)).collect();
         let healthy = FIRST_HEALTHY_DESTINATION..FIRST_HEALTHY_DESTINATION + HEALTHY_DESTINATIONS;
@@ -144,34 +148,34 @@
                     break;
                 }
                 let sender = draw_sender(&weights, random);
-                let what = Occurrence::Submission(destination);
-                self.queue.push(Reverse(Scheduled { at: self.start + at as Micros, sender, what }));
+                let kind = EventKind::Submission(destination);
+                self.queue.push(Reverse(ScheduledEvent { at: self.start + at as Micros, sender, kind }));
             }
         }
     }
 
-    fn turn(&mut self, Scheduled { at, sender, what }: Scheduled) {
-        let event = match what {
-            Occurrence::Submission(destination) => {
+    fn turn(&mut self, ScheduledEvent { at, sender, kind }: ScheduledEvent) {
+        let event = match kind {
+            EventKind::Submission(destination) => {
                 self.last_id += 1;
                 message_submitted(self.last_id, IDEMPOTENT_WITH_KEY, destination)
             }
-            Occurrence::CallEnd { id, attempt, endpoint, elapsed } => {
+            EventKind::CallEnd { id, attempt, endpoint, elapsed } => {
                 let is_down = endpoint == FAILING_ENDPOINT && self.is_down(at - elapsed);
-                self.sender_met_outage[sender] |= is_down;
+                self.sender_observed_outage[sender] |= is_down;
                 let outcome = self.outcome(is_down);
                 let load_report = self.load_report(endpoint, is_down);
                 let end = attempt_end(id, attempt, endpoint, outcome);
                 Event::AttemptEnded(AttemptEnd { elapsed, load_report, ..end })
             }
-            Occurrence::Timer => Event::TimerFired { token: 0 },
+            EventKind::Timer => Event::TimerFired { token: 0 },
         };
         let harness = &mut self.senders[sender];
         harness.now = at;
         harness.timers.clear();
         let actions = harness.turn(&[event]);
         for due in &harness.timers {
-            self.queue.push(Reverse(Scheduled { at: *due, sender, what: Occurrence::Timer }));
+            self.queue.push(Reverse(ScheduledEvent { at: *due, sender, kind: EventKind::Timer }));
         }
         for action in actions {
             if let Action::Send { id, endpoint, timeout, .. } = action {
@@ -192,21 +196,21 @@
         let is_failing_endpoint = endpoint == FAILING_ENDPOINT;
         let times_out = is_failing_endpoint && self.fleet.is_unresponsive && self.is_down(now);
         let elapsed = if times_out { timeout } else { RESPONSE_TIME };
-        let what = Occurrence::CallEnd { id, attempt, endpoint, elapsed };
-        self.queue.push(Reverse(Scheduled { at: now + elapsed, sender, what }));
+        let kind = EventKind::CallEnd { id, attempt, endpoint, elapsed };
+        self.queue.push(Reverse(ScheduledEvent { at: now + elapsed, sender, kind }));
         let since_return = now - self.start - BACK_AT;
         if is_failing_endpoint && since_return >= 0 {
-            let sender_met_outage = self.sender_met_outage[sender];
-            self.calls.push(Call { sent_at: since_return, sender_met_outage });
+            let sender_observed_outage = self.sender_observed_outage[sender];
+            self.calls.push(Call { sent_at: since_return, sender_observed_outage });
         }
     }
 
-    /// The failing endpoint is down at this time.
+    /// Whether the failing endpoint is down at this time.
     fn is_down(&self, now: Micros) -> bool {
         (DOWN_AT..BACK_AT).contains(&(now - self.start))
     }
 
-    /// How a call ends that met the outage or not.
+    /// Outcome of a call; `is_down` if it was sent to the failing endpoint during the outage.
     fn outcome(&self, is_down: bool) -> AttemptOutcome {
         match (is_down, self.fleet.is_unresponsive) {
             (false, _) => AttemptOutcome::Delivered,
@@ -215,7 +219,7 @@
         }
     }
 
-    /// What the failing endpoint reports with its answers while it is up.
+    /// Load report in the response of an endpoint; only the failing endpoint sends one, while it is up.
     fn load_report(&self, endpoint: EndpointId, is_down: bool) -> Option<LoadReport> {
         if endpoint != FAILING_ENDPOINT || is_down {
             return None;
@@ -225,7 +229,7 @@
     }
 }
 
-/// Draws a sender by weight.
+/// Draws a sender with a probability proportional to its weight.
 fn draw_sender(weights: &[f64], random: &mut fastrand::Rng) -> usize {
     let total: f64 = weights.iter().sum();
     let mut remaining = random.f64() * total;
--- a/crates/delivery-control/tests/controller/health.rs
+++ b/crates/delivery-control/tests/controller/health.rs
@@ -1,4 +1,4 @@
-//! Failing and unresponsive endpoints: ejection, probes, recovery ramp, and cancelled calls.
+//! Failing and unresponsive endpoints: ejection, probes, slow start, and cancelled calls.
 
 use delivery_control::{Action, AttemptOutcome, EndpointEntry, Event, Micros, Settings};
 
@@ -8,6 +8,8 @@
     NOT_IDEMPOTENT, SECOND, SHARED_LIMIT,
 };
 
+/// Guards against messages that use up their attempts during an outage: while the endpoint is ejected,
+/// messages stay buffered and only one at a time is sent as a probe, at growing intervals.
 #[test]
 fn outage_buffers_messages_and_probes_with_one_at_a_time() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -18,16 +20,16 @@
     harness.turn(&failures);
     let more = messages_submitted(4..=20, IDEMPOTENT_WITH_KEY, 10);
     let actions = harness.turn(&more);
-    assert!(sends(&actions).is_empty(), "buffered, no attempts spent: {actions:?}");
+    assert!(sends(&actions).is_empty(), "messages must stay buffered during the outage: {actions:?}");
     let until = harness.now + 12 * SECOND;
     let probes = harness.answer_calls(1, AttemptOutcome::Error, 50 * MILLISECOND, until);
     assert!((3..=9).contains(&probes.len()), "{probes:?}");
     let intervals: Vec<_> = probes.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(intervals[0] < intervals[2], "intervals grow: {intervals:?}");
+    assert!(intervals[0] < intervals[2], "the intervals between probes must grow: {intervals:?}");
 }
 
-/// Number of messages sent in the first 6 s after an outage that all calls ended with this outcome, with
-/// plenty buffered.
+/// Returns the number of messages sent in the first 6 s after an outage, with a large backlog. During the
+/// outage, all calls end with `outcome`.
 fn sends_after_outage(outcome: AttemptOutcome, outage: Micros, sender_count: u32) -> usize {
     let settings = Settings { sender_count, rates_are_listed: true, ..settings() };
     let entries = vec![
@@ -46,31 +48,39 @@
     harness.turn(&failures);
     let until = harness.now + outage;
     harness.answer_calls(1, outcome, 50 * MILLISECOND, until);
-    // A probe follows 4.5 s after the last one at the latest.
+    // With two senders, the next probe is sent at most 4.5 s after the previous one.
     let until = harness.now + 6 * SECOND;
     harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len()
 }
 
+/// Guards against overload of a cold destination by the backlog of an outage: if all senders sent it at full
+/// rate, the destination would fail again. A brief failure must not trigger a slow start.
 #[test]
 fn recovered_destination_is_not_overloaded() {
     let outages = [AttemptOutcome::Error, AttemptOutcome::ConnectFailed, AttemptOutcome::Rejected];
     let sent = outages.map(|outcome| sends_after_outage(outcome, 6 * SECOND, 2));
-    assert!(sent.iter().all(|sent| (1..=14).contains(sent)), "{sent:?} sends in the first 6 s");
-    // Several senders at once: each keeps to its share of the admissible rate.
+    assert!(
+        sent.iter().all(|sent| (1..=14).contains(sent)),
+        "messages sent in the first 6 s after each outage: {sent:?}"
+    );
+    // The more senders there are, the fewer calls each of them may make.
     for outcome in outages {
         let two = sends_after_outage(outcome, 6 * SECOND, 2);
         let six = sends_after_outage(outcome, 6 * SECOND, 6);
-        assert!(six < two || six <= 2, "{outcome:?}: {two} with two senders, {six} with six");
+        assert!(
+            six < two || six <= 2,
+            "{outcome:?}: a sender sent {two} messages as one of two, {six} as one of six"
+        );
     }
     let after_brief_failure = sends_after_outage(AttemptOutcome::Error, 600 * MILLISECOND, 2);
     assert!(
         after_brief_failure > sent[0],
-        "a false alarm is no outage: {after_brief_failure} against {sent:?}"
+        "a brief failure must not trigger a slow start: {after_brief_failure} against {sent:?} messages sent"
     );
 }
 
-/// Guards against attempts of non-idempotent messages spent on probing a destination while an idempotent
-/// message is buffered; where none is, a non-idempotent one must do.
+/// Guards against an attempt of a non-idempotent message that is spent on a probe while an idempotent message
+/// for the same destination is buffered. If there is none, the non-idempotent message is sent.
 #[test]
 fn ejected_destination_is_probed_by_idempotent_messages_first() {
     for (others, probed_by) in [(vec![message_submitted(2, IDEMPOTENT_WITH_KEY, 10)], 2), (Vec::new(), 1)] {
@@ -79,7 +89,7 @@
         harness.turn(&[attempt_ended(9, 0, 1, AttemptOutcome::Error)]);
         harness.turn(&[Event::MessageWithdrawn { id: 9 }]);
         assert_eq!(harness.controller.avoided_endpoint_count(), 1);
-        // Older, and so first in its queue.
+        // The non-idempotent message is older, and so first in the queue.
         assert!(sends(&harness.turn(&[message_submitted(1, NOT_IDEMPOTENT, 10)])).is_empty());
         assert!(sends(&harness.turn(&others)).is_empty());
         let until = harness.now + 10 * SECOND;
@@ -88,8 +98,8 @@
     }
 }
 
-/// Guards against state of endpoints that depart while ejected being kept for good: under steady replacement
-/// it would grow without end.
+/// Guards against memory that grows without bound: if the state of endpoints that depart while ejected were
+/// kept forever, it would accumulate as endpoints are replaced.
 #[test]
 fn outage_of_a_departed_endpoint_is_forgotten_after_a_minute() {
     let calls_after = |absence: Micros| {
@@ -104,9 +114,15 @@
         let messages = messages_submitted(11..=13, IDEMPOTENT, 10);
         sends(&harness.turn(&messages)).len()
     };
-    assert_eq!((calls_after(30 * SECOND), calls_after(61 * SECOND)), (1, 3), "one probe, or all");
+    assert_eq!(
+        (calls_after(30 * SECOND), calls_after(61 * SECOND)),
+        (1, 3),
+        "one probe after 30 s, all messages after 61 s"
+    );
 }
 
+/// Guards against a destination without responses that takes most permits: its calls stay in flight until
+/// they time out, and no permits would be left for other destinations.
 #[test]
 fn unresponsive_destination_does_not_occupy_most_of_the_concurrency_limit() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -114,11 +130,13 @@
     let mut sent = sends(&harness.turn(&burst)).len();
     let until = harness.now + 10 * SECOND;
     sent += timed_sends(&harness.advance_to(until)).len();
-    assert!((1..=4).contains(&sent), "{sent} of 6 calls in flight");
+    assert!((1..=4).contains(&sent), "{sent} of the 6 permits were used for the unresponsive destination");
     let actions = harness.turn(&[message_submitted(100, IDEMPOTENT_WITH_KEY, 20)]);
-    assert_eq!(sends(&actions), [(100, 2)], "a call is left for the healthy one");
+    assert_eq!(sends(&actions), [(100, 2)], "a permit is left for the healthy destination");
 }
 
+/// Guards against a call with a lost response that keeps its permit until its timeout: once a later call to
+/// the endpoint was answered, the call is cancelled when other messages need its permit.
 #[test]
 fn overtaken_call_is_cancelled_when_the_concurrency_limit_is_reached() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -134,8 +152,8 @@
     assert!(actions.contains(&Action::Cancel { id: 1, attempt: 0 }), "{actions:?}");
 }
 
-/// After how long the call of a message of this class is cancelled that later calls overtake while the
-/// concurrency limit is reached.
+/// Returns the time after which a call is cancelled that later calls have overtaken, while the concurrency
+/// limit is reached. The call carries a message of this class.
 fn time_until_overtaken_call_is_cancelled(class: usize) -> Micros {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
     for id in 1..=20 {
@@ -168,13 +186,16 @@
     cancel.0 - start
 }
 
-/// Calls whose responses get lost one by one must not stay in flight as long as those to an unresponsive
-/// endpoint, nor for a fixed time however fast the other responses come; but a message that cannot be retried
-/// after its response is lost is waited for twice as long.
+/// Guards against calls with lost responses that keep their permits as long as calls to an unresponsive
+/// endpoint, or for a fixed time however fast other responses arrive. A message that cannot be retried gets
+/// twice the time, since it is lost with its response.
 #[test]
 fn overtaken_call_is_cancelled_after_several_usual_response_times() {
     let with_key = time_until_overtaken_call_is_cancelled(IDEMPOTENT_WITH_KEY);
     let not_idempotent = time_until_overtaken_call_is_cancelled(NOT_IDEMPOTENT);
-    assert!((200 * MILLISECOND..350 * MILLISECOND).contains(&with_key), "{with_key}");
-    assert!((400 * MILLISECOND..700 * MILLISECOND).contains(&not_idempotent), "{not_idempotent}");
+    assert!((200 * MILLISECOND..350 * MILLISECOND).contains(&with_key), "cancelled after {with_key} µs");
+    assert!(
+        (400 * MILLISECOND..700 * MILLISECOND).contains(&not_idempotent),
+        "cancelled after {not_idempotent} µs"
+    );
 }
--- a/crates/delivery-control/tests/controller/invariants/checker.rs
+++ b/crates/delivery-control/tests/controller/invariants/checker.rs
@@ -1,4 +1,5 @@
-//! The rules that a controller must keep, checked action by action.
+//! Checks each action of a controller against the delivery rules, with its own record of messages, endpoints,
+//! and Retry-Afters.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 
 use crate::support::{attempt_end, SECOND};
 
-/// Number of zones over which the endpoints are spread by their numbers.
+/// Number of zones; an endpoint's zone is its number modulo this.
 const ZONES: u64 = 2;
 
 /// A route: a destination, or one of its endpoints where rate limits are per endpoint.
@@ -29,7 +30,7 @@
     zone: u64,
 }
 
-/// What the rules need to know of a message.
+/// The state of a message that the rules depend on.
 pub struct Message {
     /// Index of its class.
     pub class: usize,
@@ -37,21 +38,21 @@
     pub destination: DestinationId,
     /// Its order key, if its class is ordered.
     pub order_key: Option<String>,
-    /// When it is given up.
+    /// Time of its deadline.
     pub deadline: Micros,
     /// Attempts made so far.
     pub attempts: u32,
     /// The first attempt that may have taken effect.
     pub first_ambiguous: Option<FirstAmbiguous>,
     call: Option<Call>,
-    /// It was delivered, or the controller gave its final answer.
+    /// Whether the message was delivered, rejected or failed.
     pub is_finished: bool,
-    /// Its place in the order of submission.
+    /// Position of the message in the order of submission.
     submission_number: u64,
 }
 
 impl Message {
-    /// A message that is submitted now.
+    /// Creates the record of a message that is submitted at `now`.
     pub fn submitted(
         class: usize,
         destination: DestinationId,
@@ -80,38 +81,38 @@
     pub destination: DestinationId,
     /// Index of its kind.
     pub kind: usize,
-    /// It is live, not draining.
+    /// Whether it is listed as live; otherwise it is draining.
     pub is_live: bool,
 }
 
-/// Time until which only the message of the ambiguous attempt may be sent under its order key.
+/// Quarantine of an order key: until its end, only the message of the ambiguous attempt may be sent.
 #[derive(Clone, Copy)]
 struct Quarantine {
     until: Micros,
     message: MessageId,
 }
 
-/// Checks the controller's actions against the rules, from what it was told and did.
+/// Checks the controller's actions against the rules, from the events reported to it and its earlier actions.
 pub struct InvariantChecker {
     /// The controller's settings.
     pub settings: Settings,
-    /// The time.
+    /// The present virtual time.
     pub now: Micros,
     /// The endpoints as last listed.
     pub endpoints: BTreeMap<EndpointId, ListedEndpoint>,
     messages: BTreeMap<MessageId, Message>,
     retry_after_until: BTreeMap<Route, Micros>,
     quarantines: BTreeMap<String, Quarantine>,
-    /// Messages sent.
+    /// Number of sends.
     pub sends: usize,
-    /// Messages sent although an earlier attempt may have taken effect.
+    /// Number of sends after an attempt that may have taken effect.
     pub retries: usize,
-    /// Outcomes with a Retry-After.
+    /// Number of outcomes with a Retry-After.
     pub retry_afters: usize,
 }
 
 impl InvariantChecker {
-    /// A checker that knows no messages.
+    /// Creates a checker without messages.
     pub fn new(settings: Settings, now: Micros, endpoints: BTreeMap<EndpointId, ListedEndpoint>) -> Self {
         Self {
             settings,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// All messages submitted.
+    /// All messages submitted so far.
     pub fn messages(&self) -> impl Iterator<Item = &Message> {
         self.messages.values()
     }
@@ -136,7 +137,7 @@
         self.messages.insert(id, message);
     }
 
-    /// Checks what the controller does in a turn.
+    /// Checks the actions of a turn, and that no open message is past its deadline and the slack for answers.
     pub fn check_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -148,17 +149,23 @@
         }
         let slack = self.settings.rules.answer_slack;
         let late = |message: &Message| !message.is_finished && self.now > message.deadline + slack;
-        assert!(!self.messages().any(late), "a message got no answer in time");
+        assert!(
+            !self.messages().any(late),
+            "a message is still open after its deadline and the answer slack"
+        );
     }
 
     fn check_send(&mut self, id: MessageId, endpoint: EndpointId, timeout: Micros) {
-        assert!(timeout > 0, "a time-out is above zero");
+        assert!(timeout > 0, "message {id} was sent with a timeout that is not positive");
         self.check_endpoint(id, endpoint);
         self.check_order(id);
         let message = &self.messages[&id];
-        assert!(!message.is_finished, "{id} was sent after its end");
-        assert!(message.call.is_none(), "{id} has two attempts in flight");
-        assert!(message.attempts < self.settings.limits.max_attempts, "{id} has too many attempts");
+        assert!(!message.is_finished, "message {id} was sent after its end");
+        assert!(message.call.is_none(), "message {id} has two attempts in flight");
+        assert!(
+            message.attempts < self.settings.limits.max_attempts,
+            "message {id} has more attempts than permitted"
+        );
         assert_eq!(self.endpoints[&endpoint].destination, message.destination);
         assert!(self.now < message.deadline);
         if let Some(first_ambiguous) = message.first_ambiguous {
@@ -171,16 +178,17 @@
         self.sends += 1;
     }
 
-    /// A live endpoint is called, and not before the Retry-After of its route.
+    /// Checks that the endpoint is live, and that the Retry-After of its route is over.
     fn check_endpoint(&self, id: MessageId, endpoint: EndpointId) {
         let is_live = self.endpoints[&endpoint].is_live;
-        assert!(is_live, "{id} was sent to an endpoint known to be draining or departed");
+        assert!(is_live, "message {id} was sent to an endpoint that is listed as draining");
         let until = self.retry_after_until.get(&self.route(endpoint)).copied().unwrap_or(0);
         let early = until - self.now;
-        assert!(early <= 0, "{id} was sent {early} µs before the Retry-After was over");
+        assert!(early <= 0, "message {id} was sent {early} µs before the end of the Retry-After");
     }
 
-    /// All messages submitted earlier under the order key are finished, and the key is not in quarantine.
+    /// Checks that all earlier messages of the order key are finished, and that no quarantine of the key
+    /// forbids the send.
     fn check_order(&self, id: MessageId) {
         let message = &self.messages[&id];
         let Some(key) = &message.order_key else { return };
@@ -191,31 +199,37 @@
                 continue;
             }
             let is_over = earlier.is_finished && earlier.call.is_none();
-            assert!(is_over, "{id} went before {other} of its key");
+            assert!(
+                is_over,
+                "message {id} was sent before the end of {other}, an earlier message of its order key"
+            );
         }
         if let Some(quarantine) = self.quarantines.get(key) {
             let is_allowed = quarantine.until <= self.now || quarantine.message == id;
-            assert!(is_allowed, "{id} was sent while its key is in quarantine");
+            assert!(is_allowed, "message {id} was sent while its order key is in quarantine");
         }
     }
 
-    /// A message that may have taken effect is sent again only where its idempotency allows it.
+    /// Checks that the idempotency of a message that may have taken effect permits this repeat.
     fn check_retry(&self, id: MessageId, endpoint: EndpointId, first_ambiguous: FirstAmbiguous) {
         let class = self.class_of(id);
         match class.idempotency {
             Idempotency::Always => {}
-            Idempotency::Never => panic!("{id} may have taken effect and was sent again"),
+            Idempotency::Never => panic!("message {id} may have taken effect and was sent again"),
             Idempotency::WithKey => {
                 let window_end = first_ambiguous.sent_at + class.idempotency_window;
-                assert!(self.now <= window_end, "{id} was sent after its idempotency window");
+                assert!(self.now <= window_end, "message {id} was sent again after its idempotency window");
                 let is_in_scope = class.idempotency_scope == IdempotencyScope::All
                     || first_ambiguous.zone == endpoint % ZONES;
-                assert!(is_in_scope, "{id} left its zone");
+                assert!(
+                    is_in_scope,
+                    "message {id} was sent again in a zone that does not know its idempotency key"
+                );
             }
         }
     }
 
-    /// Only a message without effect, or one that may be repeated, is rejected.
+    /// Checks that the rejected message had no effect, or that the client may submit it again without harm.
     fn check_rejection(&mut self, id: MessageId) {
         let message = &self.messages[&id];
         if message.first_ambiguous.is_some() || message.call.is_some() {
@@ -225,17 +239,17 @@
                 Idempotency::WithKey => class.idempotency_scope == IdempotencyScope::All,
                 Idempotency::Never => false,
             };
-            assert!(may_be_rejected, "{id} may have taken effect and was rejected");
+            assert!(may_be_rejected, "message {id} may have taken effect and was rejected");
         }
         self.finish(id);
     }
 
-    /// Records the final answer, which comes once and in time.
+    /// Records the final answer; checks that it is the only one and comes in time.
     fn finish(&mut self, id: MessageId) {
         let message = self.messages.get_mut(&id).expect("the message is known");
-        assert!(!message.is_finished, "{id} was ended twice");
+        assert!(!message.is_finished, "message {id} got two final answers");
         let latest = message.deadline + self.settings.rules.answer_slack;
-        assert!(self.now <= latest, "{id} was ended late");
+        assert!(self.now <= latest, "message {id} got its final answer too late");
         message.is_finished = true;
     }
 
@@ -286,12 +300,12 @@
     }
 }
 
-/// The message may have taken effect by a call with this outcome.
+/// Whether a message may have taken effect by a call with this outcome.
 fn may_have_taken_effect(outcome: AttemptOutcome) -> bool {
     !matches!(outcome, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
 }
 
-/// The order key of a message is in quarantine after a call with this outcome.
+/// Whether the order key of a message is in quarantine after a call with this outcome.
 fn is_quarantined_after(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Timeout | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
 }
--- a/crates/delivery-control/tests/controller/invariants/simulation.rs
+++ b/crates/delivery-control/tests/controller/invariants/simulation.rs
@@ -1,4 +1,4 @@
-//! Random event sequences: submissions, changes of the endpoint list, and calls of which a share fails.
+//! Simulates random sequences of events: submissions, changes of the endpoint list, and calls that may fail.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     ORDERED_IN_ZONE, SECOND,
 };
 
-/// Time of the first turn.
+/// Virtual time of the first turn.
 const START: Micros = 50 * SECOND;
-/// Messages are submitted for this long.
+/// Time from the start during which messages are submitted.
 const SUBMISSION_TIME: Micros = 60 * SECOND;
-/// Time after the last submission, in which all messages must end.
+/// Time after the submissions within which all messages must end.
 const DRAIN_TIME: Micros = 30 * SECOND;
-/// Step of the clock.
+/// Step by which the clock advances.
 const STEP: Micros = 5 * MILLISECOND;
 /// Probability of a submission in a step.
 const SUBMISSION_PROBABILITY: f64 = 0.04;
-/// Probability that an endpoint changes between live and draining in a step.
+/// Probability that one of the endpoints changes between live and draining in a step.
 const LISTING_CHANGE_PROBABILITY: f64 = 0.002;
-/// Number of endpoints, three for each destination; a destination's number is the index of its kind.
+/// Number of endpoints, three for each destination; the number of a destination is the index of its kind.
 const ENDPOINTS: EndpointId = 9;
 /// Number of destinations.
 const DESTINATIONS: u64 = 3;
@@ -38,7 +38,7 @@
     AttemptOutcome::ConnectFailed,
 ];
 
-/// How and when a call in flight will end.
+/// The time and the outcome with which a call in flight will end.
 #[derive(Clone, Copy)]
 struct PendingOutcome {
     at: Micros,
@@ -48,14 +48,17 @@
 }
 
 /// Runs a controller through a random event sequence in which this share of the calls fails; returns the
-/// checker that saw all of it.
+/// checker with its records of the run.
 pub fn simulate(seed: u64, failure_share: f64) -> InvariantChecker {
     let mut simulation = Simulation::new(seed, failure_share);
     while simulation.checker.now < START + SUBMISSION_TIME + DRAIN_TIME {
         simulation.step();
     }
     let checker = simulation.checker;
-    assert!(checker.messages().all(|message| message.is_finished), "every message got its answer");
+    assert!(
+        checker.messages().all(|message| message.is_finished),
+        "a message has no final answer at the end of the run"
+    );
     checker
 }
 
@@ -143,7 +146,7 @@
         self.events.push(event);
     }
 
-    /// Makes a live endpoint drain, or a draining one live.
+    /// Changes a random endpoint from live to draining, or back.
     fn change_listing(&mut self) {
         let id = self.random.u64(..ENDPOINTS);
         let endpoint = self.checker.endpoints.get_mut(&id).expect("the endpoint is known");
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Draws how the call will end.
+    /// Draws the outcome of a call and when it ends.
     fn start_call(&mut self, id: MessageId, timeout: Micros) {
         let fails = self.random.f64() < self.failure_share;
         let outcome = if fails { FAILURES[self.random.usize(..5)] } else { AttemptOutcome::Delivered };
--- a/crates/delivery-control/tests/controller/load_reports.rs
+++ b/crates/delivery-control/tests/controller/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of a destination to one of many senders.
+//! Load reports: how one of many senders adapts to the limit that a destination reports.
 
 use delivery_control::{AttemptOutcome, EndpointEntry, Micros, Settings};
 
@@ -7,7 +7,7 @@
     timed_sends, ControllerHarness, IDEMPOTENT, MILLISECOND, NOT_IDEMPOTENT, SECOND, SHARED_LIMIT,
 };
 
-/// One of a hundred senders, with a call in flight to a destination that it calls rarely.
+/// Creates one of a hundred senders, with a call in flight to a destination that it calls rarely.
 fn infrequent_sender() -> ControllerHarness {
     let settings = Settings { sender_count: 100, rates_are_listed: true, ..settings() };
     let mut harness = ControllerHarness::new(
@@ -19,7 +19,7 @@
 }
 
 /// Advances the clock to `until` and ends each call at once as delivered, with this load report; returns the
-/// times of sending.
+/// times at which messages were sent.
 fn deliver_calls(
     harness: &mut ControllerHarness,
     until: Micros,
@@ -39,8 +39,8 @@
     sent
 }
 
-/// Guards against a limit that each of a hundred senders finds out by a rejection: that costs a hundred
-/// calls.
+/// Guards against senders that each learn of a nearly used limit only by a rejection of their own: with a
+/// hundred senders, that costs a hundred calls.
 #[test]
 fn report_of_a_nearly_used_limit_slows_the_sender_before_a_rejection() {
     let calls_in_five_seconds = |limit_remaining| {
@@ -56,13 +56,14 @@
         let until = harness.now + 5 * SECOND;
         sent_at_once + deliver_calls(&mut harness, until, limit_remaining, 50.0).len()
     };
-    // An even share of the limit is half a call a second, and some of that must be made up.
+    // The fair share of the limit is half a call per second. The sender stays below it, to compensate for
+    // what all senders together have overdrawn.
     assert!((1..=2).contains(&calls_in_five_seconds(0.05)));
-    assert_eq!(calls_in_five_seconds(0.9), 3, "nothing is held back while most of the limit is left");
+    assert_eq!(calls_in_five_seconds(0.9), 3, "no message may wait while most of the limit is left");
 }
 
-/// Guards against a slow sender that learns of a raised limit and still waits for the permit that the old
-/// limit gave it.
+/// Guards against a slow sender that learns of a raised limit and still waits for the next permit at the
+/// interval of the old limit.
 #[test]
 fn raised_limit_applies_from_the_next_response() {
     let mut harness = infrequent_sender();
@@ -70,12 +71,13 @@
     harness.turn(&messages_submitted(2..=4, IDEMPOTENT, 10));
     let start = harness.now;
     let sent = deliver_calls(&mut harness, start + 30 * SECOND, 0.9, 200.0);
-    assert!(sent[0] - start >= 2 * SECOND, "a tenth of a call a second at first: {sent:?}");
-    assert!(sent[2] - sent[0] <= 2 * SECOND, "then two a second: {sent:?}");
+    assert!(sent[0] - start >= 2 * SECOND, "the low limit permits 0.1 calls per second: {sent:?}");
+    assert!(sent[2] - sent[0] <= 2 * SECOND, "the raised limit permits 2 calls per second: {sent:?}");
 }
 
-/// Guards against a destination that is down and answers as full, to which each of a hundred senders goes on
-/// calling for want of a run of rejections: it held every call for 8 s though all of its limit was left.
+/// Guards against a destination that is down and rejects calls as if it were full. Each of a hundred senders
+/// sees too few rejections in a row to detect the outage and keeps calling: no call was served for 8 s
+/// although all of the limit was left.
 #[test]
 fn two_rejections_with_most_of_the_limit_left_are_an_outage() {
     let avoided = |limit_remaining| {
@@ -106,8 +108,9 @@
     assert_eq!((avoided(1.0), avoided(0.0)), (1, 0));
 }
 
-/// Guards against a fleet that goes on at the listed rate, or at the rate of a few calls of late, when a
-/// destination has lowered its limit and counts rejected calls too: it then answered none for up to 8 s.
+/// Guards against senders that keep to the listed rate, or to a rate derived from their few recent calls,
+/// after a destination lowered its limit. Where rejected calls count against the limit too, the destination
+/// then served no call for up to 8 s.
 #[test]
 fn rejection_slows_an_infrequent_sender_below_its_share_of_a_lowered_limit() {
     let mut harness = infrequent_sender();
@@ -124,13 +127,14 @@
         message_submitted(9, IDEMPOTENT, 10),
         message_submitted(10, IDEMPOTENT, 10),
     ]);
-    // A twentieth of a call a second is its share; more than one sender in eight would be too many.
+    // The fair share is 0.05 calls per second; calls from more than one sender in eight would be too many.
     let until = harness.now + 8 * SECOND;
     let sent = timed_sends(&harness.advance_to(until)).len();
-    assert_eq!(sent, 0, "calls in 8 s");
+    assert_eq!(sent, 0, "calls in the 8 s after the rejection");
 }
 
-/// Guards against reports with values that cannot be: they change nothing.
+/// Guards against load reports with impossible values, such as a negative limit, which would stop or slow the
+/// calls to a destination.
 #[test]
 fn impossible_load_reports_are_ignored() {
     for (limit_remaining, limit) in
--- a/crates/delivery-control/tests/controller/main.rs
+++ b/crates/delivery-control/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the controller through its public interface, one module a concern.
+//! Tests of the controller through its public interface, with one module for each area of behaviour.
 
 mod admission;
 mod controller;
--- a/crates/delivery-control/tests/controller/maintenance.rs
+++ b/crates/delivery-control/tests/controller/maintenance.rs
@@ -10,8 +10,8 @@
     SHARED_LIMIT,
 };
 
-/// Guards against calls to an endpoint that an operator drained, whatever discovery lists, and against drain
-/// commands that have to be undone one by one.
+/// Guards against calls to an endpoint that an operator drained, whatever discovery lists, and against a
+/// repeated drain command that needs more than one restore command.
 #[test]
 fn manually_drained_endpoint_is_avoided_until_restored_once() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -30,8 +30,8 @@
     assert_eq!(harness.controller.avoided_endpoint_count(), 0);
 }
 
-/// Guards against an endpoint that was restored while discovery did not list it being lost for good, and
-/// against draining endpoints not being counted as avoided.
+/// Guards against an endpoint that is never used again because an operator restored it while discovery did
+/// not list it, and against draining endpoints that are not counted as avoided.
 #[test]
 fn endpoint_restored_while_unlisted_is_used_once_listed() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -48,7 +48,8 @@
     assert_eq!(harness.latest_attempts.get(&1), Some(&0));
 }
 
-/// Guards against overload of a restarted endpoint: one that an operator restores starts cold.
+/// Guards against overload of an endpoint that an operator restores: it was restarted in the meantime and is
+/// cold.
 #[test]
 fn restored_endpoint_starts_slowly() {
     let listed =
@@ -67,16 +68,20 @@
         101,
         &[maintenance(MaintenanceCommand::Drain), maintenance(MaintenanceCommand::Restore)],
     );
-    assert!(cold > 0 && cold < 30, "{cold} in the first second");
+    assert!(cold > 0 && cold < 30, "{cold} calls in the first second after the restore");
 }
 
-/// Guards against a burst at an endpoint that an operator restored before it serves: one call shows whether
-/// it does.
+/// Guards against a burst to an endpoint that an operator restored before it can serve: a single call must
+/// show whether it can.
 #[test]
 fn restored_endpoint_is_probed_by_one_call() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
     harness.turn(&[maintenance(MaintenanceCommand::Drain), maintenance(MaintenanceCommand::Restore)]);
-    assert_eq!(harness.controller.avoided_endpoint_count(), 0, "the next message may go there");
+    assert_eq!(
+        harness.controller.avoided_endpoint_count(),
+        0,
+        "the next message may be sent there as a probe"
+    );
     let burst = messages_submitted(1..=10, IDEMPOTENT_WITH_KEY, 10);
     assert_eq!(sends(&harness.turn(&burst)).len(), 1);
     harness.turn(&[attempt_ended(1, 0, 1, AttemptOutcome::ConnectFailed)]);
--- a/crates/delivery-control/tests/controller/many_senders.rs
+++ b/crates/delivery-control/tests/controller/many_senders.rs
@@ -1,4 +1,4 @@
-//! Many controllers that call one destination of which none has a large share.
+//! Many controllers that call one destination, each with a small share of the calls.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
     MILLISECOND, SECOND, SHARED_LIMIT,
 };
 
-/// How the destination answers a call at a time after the start: the outcome, and the Retry-After sent with
-/// it.
+/// Maps the time after the start to the destination's response at that time: the outcome of a call, and the
+/// Retry-After sent with it.
 type Answers = fn(Micros) -> (AttemptOutcome, Micros);
 
-/// Time from the start of a call to its answer.
+/// Time from the start of a call to its response.
 const RESPONSE_TIME: Micros = 50 * MILLISECOND;
 
 /// Runs this many controllers for `length`, each with one message for the same destination; returns the times
-/// of all sends to it, in order. Each controller expects an average share of messages for other destinations
-/// too.
+/// of all sends to that destination, in order. Each controller knows a second destination too, to which its
+/// estimate of the demand attributes an average share of messages.
 fn sends_of_senders(sender_count: u32, length: Micros, rate: f64, answers: Answers) -> Vec<Micros> {
     let settings = Settings { sender_count, rates_are_listed: rate > 0.0, ..settings() };
     let destination = EndpointEntry { rate, ..endpoint_entry(1, 10, SHARED_LIMIT) };
@@ -29,7 +29,7 @@
     for ordinal in 0..sender_count {
         let seed = u64::from(ordinal) + 1;
         let harness = ControllerHarness::with_seed(settings.clone(), entries.clone(), seed);
-        // Spread over the first two seconds.
+        // The submissions are spread over the first two seconds.
         let delay = Micros::from(ordinal) * 2 * SECOND / Micros::from(sender_count);
         sent_at.extend(SenderRun::new(harness, length, answers).run(delay));
     }
@@ -37,13 +37,13 @@
     sent_at
 }
 
-/// One controller with one message, under the answers of its destination.
+/// The run of one controller with one message, at a destination with these responses.
 struct SenderRun {
     harness: ControllerHarness,
     start: Micros,
     end: Micros,
     answers: Answers,
-    /// The calls in flight by the times of their answers, each with the number of its attempt.
+    /// The calls in flight by the times of their responses: each message with the number of its attempt.
     due_answers: BTreeMap<Micros, (MessageId, u32)>,
     next_attempt: u32,
     /// Times of the sends since the start.
@@ -80,7 +80,7 @@
         self.sent_at
     }
 
-    /// When the next call is answered, if that is before the end.
+    /// Time of the next response, if it is before the end.
     fn next_answer(&self) -> Option<Micros> {
         let (at, _) = self.due_answers.first_key_value()?;
         Some(*at).filter(|at| *at < self.end)
@@ -115,35 +115,45 @@
     }
 }
 
-/// Number of the sends from one time until before another.
-fn between(sends: &[Micros], from: Micros, to: Micros) -> usize {
+/// Number of the sends from `from` on and before `to`.
+fn sends_between(sends: &[Micros], from: Micros, to: Micros) -> usize {
     sends.iter().filter(|at| **at >= from && **at < to).count()
 }
 
+/// Guards against a fleet that overloads a destination after an outage with one buffered message at each
+/// sender, although no sender by itself makes many calls. A few senders must still find out soon that it is
+/// back.
 #[test]
 fn many_senders_do_not_overload_a_recovered_destination() {
-    // Errors for 10 s, then back: 60 senders with a buffered message each; 6 calls a second is the capacity.
+    // The destination returns errors for 10 s and then recovers; its capacity is 6 calls per second.
     let answers = |at| (if at < 10 * SECOND { AttemptOutcome::Error } else { AttemptOutcome::Delivered }, 0);
     let sends = sends_of_senders(60, 19 * SECOND, 6.0, answers);
-    let first = between(&sends, 10 * SECOND, 12 * SECOND);
-    // Twice a fifth of the capacity for 2 s would be 5 calls at the start, and grows from there.
+    let first = sends_between(&sends, 10 * SECOND, 12 * SECOND);
+    // Twice a fifth of the capacity (overload factor, initial capacity) is 5 calls in 2 s, and grows later.
     assert!((1..=9).contains(&first), "{first} calls in the first 2 s after the recovery");
     let by_two_senders = sends_of_senders(2, 19 * SECOND, 6.0, answers);
     assert_eq!(
-        between(&by_two_senders, 10 * SECOND, 17 * SECOND),
+        sends_between(&by_two_senders, 10 * SECOND, 17 * SECOND),
         2,
-        "two senders both find it soon: {by_two_senders:?}"
+        "each of two senders must deliver within 7 s of the recovery: {by_two_senders:?}"
     );
 }
 
+/// Guards against senders that were rejected at about the same time and retry in the same second, so that the
+/// destination is overloaded again.
 #[test]
 fn many_rejected_senders_do_not_retry_at_once() {
     let sends = sends_of_senders(60, 12 * SECOND, 0.0, |_| (AttemptOutcome::Rejected, 0));
-    let busiest = (2..10).map(|second| between(&sends, second * SECOND, (second + 1) * SECOND)).max();
-    assert!(busiest <= Some(20), "at most a third of them in any second: {busiest:?}");
-    assert!(between(&sends, 2 * SECOND, 12 * SECOND) >= 40, "but each retries: {}", sends.len());
+    let busiest = (2..10).map(|second| sends_between(&sends, second * SECOND, (second + 1) * SECOND)).max();
+    assert!(busiest <= Some(20), "at most a third of the senders may call in any second: {busiest:?}");
+    assert!(
+        sends_between(&sends, 2 * SECOND, 12 * SECOND) >= 40,
+        "too few retries, {} sends in total",
+        sends.len()
+    );
 }
 
+/// Guards against senders that all wait for the same Retry-After and call at the same moment when it is over.
 #[test]
 fn senders_with_the_same_retry_after_do_not_retry_in_step() {
     // It rejects for 8 s, with a Retry-After until then.
@@ -152,7 +162,11 @@
         _ => (AttemptOutcome::Delivered, 0),
     };
     let sends = sends_of_senders(60, 18 * SECOND, 0.0, answers);
-    assert_eq!(between(&sends, 2 * SECOND + 50 * MILLISECOND, 8 * SECOND), 0, "the Retry-After is respected");
-    let first = between(&sends, 8 * SECOND, 9 * SECOND);
-    assert!(first <= 20, "{first} of 60 in the first second after the Retry-After");
+    assert_eq!(
+        sends_between(&sends, 2 * SECOND + 50 * MILLISECOND, 8 * SECOND),
+        0,
+        "no call may be made before the Retry-After is over"
+    );
+    let first = sends_between(&sends, 8 * SECOND, 9 * SECOND);
+    assert!(first <= 20, "{first} of 60 senders called in the first second after the Retry-After");
 }
--- a/crates/delivery-control/tests/controller/ordering.rs
+++ b/crates/delivery-control/tests/controller/ordering.rs
@@ -1,4 +1,4 @@
-//! Messages of one order key: their order, quarantine, and pending notices.
+//! Messages with an order key: their order, the quarantine of the key, and pending notices.
 
 use delivery_control::{Action, AttemptOutcome, Event, Idempotency, MessageClass, Settings};
 
@@ -7,6 +7,8 @@
     two_destinations, ControllerHarness, MILLISECOND, SECOND, SHARED_LIMIT,
 };
 
+/// Guards against messages of an order key that overtake each other. After a timeout, the attempt may still
+/// run at its endpoint, so that only its own message may be sent until the quarantine is over.
 #[test]
 fn messages_of_a_key_keep_their_order_and_the_key_is_quarantined_after_a_timeout() {
     let mut harness = ControllerHarness::new(settings(), vec![endpoint_entry(1, 10, SHARED_LIMIT)]);
@@ -19,11 +21,15 @@
     harness.advance_to(harness.now + 5 * SECOND);
     harness.turn(&[attempt_ended(1, 0, 1, AttemptOutcome::Timeout)]);
     let later = timed_sends(&harness.advance_to(harness.now + 900 * MILLISECOND));
-    assert!(later.iter().all(|(_, id, _)| *id == 1), "only the head of the queue: {later:?}");
+    assert!(
+        later.iter().all(|(_, id, _)| *id == 1),
+        "only message 1 may be sent during the quarantine: {later:?}"
+    );
 }
 
-/// Guards against a message that is sent while the platform still counts its predecessor as open: on sockets
-/// it learns of a terminal outcome by a notice, which may be slow or have to be sent again.
+/// Guards against a message that is sent while the platform still counts the previous message of its order
+/// key as open: over the network, the platform learns of a final outcome by a notice, which may be delayed or
+/// have to be sent again.
 #[test]
 fn successor_waits_until_the_notice_about_its_predecessor_is_acknowledged() {
     let classes = vec![
@@ -40,7 +46,7 @@
             ordered_message_submitted(2, 20, "k"),
             ordered_message_submitted(3, 20, "other"),
         ]);
-        // The other key's message is delivered: only the key may hold back the destination's next message.
+        // Message 3 of the other key is delivered, so that only the order key can hold back message 2.
         let failed = harness.turn(&[
             attempt_ended(3, 0, 2, AttemptOutcome::Delivered),
             attempt_ended(1, 0, 1, AttemptOutcome::Error),
@@ -50,7 +56,8 @@
         if notices_are_acknowledged {
             let until = harness.now + 5 * SECOND;
             assert!(timed_sends(&harness.advance_to(until)).iter().all(|(_, id, _)| *id != 2));
-            // Neither a predecessor process's message nor the end of one of another key releases it.
+            // Neither the end of a message of another key nor an acknowledgement for another message, such as
+            // one of a predecessor process, releases message 2.
             harness.turn(&[Event::NoticeAcknowledged { id: 9 }]);
             assert_eq!(sends(&harness.turn(&[Event::NoticeAcknowledged { id: 1 }])), [(2, 2)]);
         }
--- a/crates/delivery-control/tests/controller/recovery.rs
+++ b/crates/delivery-control/tests/controller/recovery.rs
@@ -11,7 +11,7 @@
     SHARED_LIMIT,
 };
 
-/// Submissions of messages that a predecessor process accepted and never attempted.
+/// Builds the events that submit messages which a predecessor process accepted and never attempted.
 fn unattempted_messages(ids: impl IntoIterator<Item = MessageId>) -> Vec<Event> {
     let mut events = Vec::new();
     for id in ids {
@@ -21,7 +21,8 @@
     events
 }
 
-/// Times at which the messages are sent that these events submit, where each call is delivered at once.
+/// Submits messages with these events and delivers each call at once; returns the times of the sends, counted
+/// from the submission.
 fn sent_after(harness: &mut ControllerHarness, events: &[Event]) -> Vec<Micros> {
     let start = harness.now;
     let mut sent_at = vec![start; sends(&harness.turn(events)).len()];
@@ -29,7 +30,7 @@
     sent_at.into_iter().map(|at| at - start).collect()
 }
 
-/// Guards against a burst of a restarted sender's messages at a destination that may be cold.
+/// Guards against a burst of all recovered messages after a restart, at a destination that may be cold.
 #[test]
 fn recovered_messages_of_a_destination_are_sent_one_by_one() {
     let events = unattempted_messages(1..=4);
@@ -38,11 +39,12 @@
     assert!(sent.windows(2).all(|pair| pair[1] - pair[0] >= 200 * MILLISECOND), "{sent:?}");
 }
 
-/// Guards against a restart that makes buffered messages late, however fast their destination is.
+/// Guards against recovered messages that become late because they are sent at a fixed slow pace, however
+/// fast their destination is.
 #[test]
 fn recovered_messages_are_sent_at_the_initial_share_of_the_listed_rate() {
     let events = unattempted_messages(1..=20);
-    // Two senders share a fifth of it: five a second for this one, less for the jitter.
+    // Two senders share a fifth of the listed rate: 5 calls per second for this one, fewer with jitter.
     let listed = vec![EndpointEntry { rate: 50.0, ..endpoint_entry(1, 10, SHARED_LIMIT) }];
     let settings = Settings { rates_are_listed: true, ..settings() };
     let sent = sent_after(&mut ControllerHarness::new(settings, listed), &events);
@@ -50,6 +52,8 @@
     assert!((13..=21).contains(&in_4_s), "{sent:?}");
 }
 
+/// Guards against a restart that resets the attempt count or the idempotency window of a message: it could
+/// get too many attempts, or take effect twice.
 #[test]
 fn recovered_message_keeps_its_attempt_count_and_idempotency_window() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -69,18 +73,19 @@
     let failed = |id| ends.contains(&&Action::Fail { id });
     assert!(
         failed(1) && failed(2),
-        "the idempotency window is over, or a retry may take effect twice: {ends:?}"
+        "messages 1 and 2 must fail, as a retry of either may take effect twice: {ends:?}"
     );
     assert!(
         ends.iter().any(|end| matches!(end, Action::Reject { id: 3, .. })),
-        "no attempt is left: {ends:?}"
+        "message 3 must be rejected, as it has no attempt left: {ends:?}"
     );
     let later = harness.advance_to(harness.now + 2 * SECOND);
     assert_eq!(timed_sends(&later).len() + sends(&actions).len(), 1, "{later:?}");
 }
 
-/// Guards against a starved destination: a new process knows nothing of what was sent before, and rejections
-/// by a destination that serves again later must leave it a rate for what is buffered.
+/// Guards against a starved destination after a restart: the new process knows nothing of earlier calls, so
+/// that rejections could lower the rate to almost nothing. When the destination serves again, the rate must
+/// suffice for the buffered messages.
 #[test]
 fn rejection_after_a_restart_leaves_a_usable_rate() {
     let mut settings = settings();
@@ -99,5 +104,9 @@
     harness.answer_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, recovered_at);
     let sent =
         harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, recovered_at + 6 * SECOND);
-    assert!(sent.len() >= 20, "{} calls in 6 s for 80 messages", sent.len());
+    assert!(
+        sent.len() >= 20,
+        "{} calls in the 6 s after the recovery, with 80 messages buffered",
+        sent.len()
+    );
 }
--- a/crates/delivery-control/tests/controller/retry.rs
+++ b/crates/delivery-control/tests/controller/retry.rs
@@ -1,4 +1,4 @@
-//! How attempts are timed and retried: backoff, time-outs and the idempotency window.
+//! Retries of a message: backoff, timeouts, and the idempotency window.
 
 use delivery_control::{
     Action, AmbiguousAttempt, AttemptEnd, AttemptOutcome, Controller, Event, MessageSubmission, Settings,
@@ -10,6 +10,8 @@
     MILLISECOND, NOT_IDEMPOTENT, SECOND,
 };
 
+/// Guards against a delay before the first attempt, against a backoff that does not grow, and against one
+/// without jitter, by which the retries of many messages would coincide.
 #[test]
 fn first_attempt_is_immediate_and_backoff_grows_with_jitter() {
     let mut first_backoffs = Vec::new();
@@ -18,7 +20,7 @@
         let mut backoffs = Vec::new();
         let mut now = 10 * SECOND;
         let mut actions = Vec::new();
-        // A destination that delivers: one failure there is not yet an outage.
+        // After a recent delivery, a single failure at the endpoint is not treated as an outage.
         controller.turn(
             now,
             &[endpoint_snapshot(two_destinations()), message_submitted(9, IDEMPOTENT_WITH_KEY, 10)],
@@ -48,9 +50,12 @@
         first_backoffs.push(backoffs[0]);
     }
     first_backoffs.dedup();
-    assert!(first_backoffs.len() > 1, "backoffs vary by chance: {first_backoffs:?}");
+    assert!(first_backoffs.len() > 1, "the backoff must vary with the seed: {first_backoffs:?}");
 }
 
+/// Guards against a first attempt that leaves no time for retries, and against a timeout so short that a
+/// message is repeated while a slow endpoint still processes it. A non-idempotent message cannot be repeated
+/// and gets nearly all the time.
 #[test]
 fn attempt_timeouts_divide_the_time_left_above_a_floor() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -61,11 +66,12 @@
     let Some(Action::Send { timeout, .. }) = actions.first() else { panic!("{actions:?}") };
     assert!(
         *timeout > 15 * SECOND,
-        "the only ambiguous attempt of a non-idempotent message gets nearly all the time: {timeout}"
+        "a non-idempotent message has at most one ambiguous attempt, with nearly all the time: {timeout}"
     );
 }
 
-/// Settings with an idempotency window of 1 s under a key, and a deadline of 5 s for idempotent messages.
+/// Settings with an idempotency window of 1 s for messages with a key, and a deadline of 5 s for idempotent
+/// messages.
 fn short_window_settings() -> Settings {
     let mut settings = settings();
     settings.classes[IDEMPOTENT_WITH_KEY].idempotency_window = SECOND;
@@ -73,8 +79,8 @@
     settings
 }
 
-/// With [`short_window_settings`], and an endpoint that has just delivered: one failure there is not yet an
-/// outage.
+/// Creates a harness with [`short_window_settings`] and an endpoint that has just delivered, so that a single
+/// failure there is not treated as an outage.
 fn short_window_harness() -> ControllerHarness {
     let mut harness = ControllerHarness::new(short_window_settings(), two_destinations());
     harness.turn(&[message_submitted(9, IDEMPOTENT_WITH_KEY, 10)]);
@@ -82,7 +88,8 @@
     harness
 }
 
-/// Guards against a time-out that takes all of a short window, after which the message cannot be retried.
+/// Guards against a timeout that takes all of a short idempotency window, after which the message cannot be
+/// retried.
 #[test]
 fn attempt_timeout_leaves_time_for_a_retry_within_a_short_idempotency_window() {
     let mut harness = short_window_harness();
@@ -92,10 +99,14 @@
     harness.now += timeout;
     let mut later = harness.turn(&[attempt_ended(1, 0, 1, AttemptOutcome::Timeout)]);
     later.extend(harness.advance_to(submitted_at + 20 * SECOND).into_iter().map(|(_, action)| action));
-    assert_eq!(sends(&later), [(1, 1)], "retried once: {later:?}");
+    assert_eq!(sends(&later), [(1, 1)], "the message must be retried once: {later:?}");
     let (at, _) = harness.in_flight[&1];
-    assert!(at - submitted_at < SECOND, "inside the window: {}", at - submitted_at);
-    // A class of five seconds gets a second attempt as well.
+    assert!(
+        at - submitted_at < SECOND,
+        "the retry must be within the window, but was sent after {} µs",
+        at - submitted_at
+    );
+    // The timeout also leaves time for a second attempt of a message with a deadline of 5 s.
     let mut harness = short_window_harness();
     let submission = MessageSubmission { time_left: 5 * SECOND, ..message_submission(2, IDEMPOTENT, 10) };
     let actions = harness.turn(&[Event::MessageSubmitted(submission)]);
@@ -103,8 +114,8 @@
     assert!(*timeout <= 2_500 * MILLISECOND, "{timeout}");
 }
 
-/// Guards against a retry outside the window, by this process's clock or by one that was set back, and
-/// against a message that stays buffered though it cannot be retried any more.
+/// Guards against a retry outside the idempotency window, by the clock of this process or by one that was set
+/// back, and against a message that stays buffered although it cannot be retried any more.
 #[test]
 fn ambiguous_attempts_are_retried_within_the_idempotency_window_and_fail_at_its_end() {
     for (after, retried) in [
@@ -118,12 +129,12 @@
         harness.turn(&[message_submitted(1, IDEMPOTENT_WITH_KEY, 10)]);
         harness.now += after;
         let mut actions = harness.turn(&[attempt_ended(1, 0, 1, AttemptOutcome::Reset)]);
-        assert_eq!(actions.contains(&Action::Fail { id: 1 }), !retried, "{after}");
+        assert_eq!(actions.contains(&Action::Fail { id: 1 }), !retried, "reset {after} µs after the send");
         actions =
             harness.advance_to(submitted_at + 20 * SECOND).into_iter().map(|(_, action)| action).collect();
-        assert_eq!(sends(&actions).len(), usize::from(retried), "{after}");
+        assert_eq!(sends(&actions).len(), usize::from(retried), "reset {after} µs after the send");
     }
-    // Recovered after a restart.
+    // A message recovered after a restart; a negative time means that the clock was set back.
     for (ago, retried) in
         [(300 * MILLISECOND, true), (960 * MILLISECOND, false), (30 * SECOND, false), (-SECOND, false)]
     {
@@ -132,15 +143,21 @@
         let first_ambiguous = AmbiguousAttempt { sent_at: start - ago, zone: 1 };
         let recovered = message_recovered(1, 1, Some(first_ambiguous));
         let first = harness.turn(&[message_submitted(1, IDEMPOTENT_WITH_KEY, 10), recovered]);
-        assert_eq!(first.contains(&Action::Fail { id: 1 }), !retried, "{ago}: {first:?}");
+        assert_eq!(
+            first.contains(&Action::Fail { id: 1 }),
+            !retried,
+            "sent {ago} µs before the restart: {first:?}"
+        );
         let mut sent_at = vec![start; sends(&first).len()];
         let later = timed_sends(&harness.advance_to(start + 20 * SECOND));
         sent_at.extend(later.into_iter().map(|(at, ..)| at));
-        assert_eq!(sent_at.len(), usize::from(retried), "{ago}");
-        assert!(sent_at.iter().all(|at| at - start + ago < SECOND), "{ago}");
+        assert_eq!(sent_at.len(), usize::from(retried), "sent {ago} µs before the restart");
+        assert!(sent_at.iter().all(|at| at - start + ago < SECOND), "sent {ago} µs before the restart");
     }
 }
 
+/// Guards against a non-idempotent message that takes effect twice because it is retried after an ambiguous
+/// outcome, and against one that is given up although it was never sent.
 #[test]
 fn non_idempotent_messages_fail_after_an_ambiguous_outcome_and_are_retried_if_never_sent() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -155,6 +172,8 @@
     assert_eq!(ids, [2]);
 }
 
+/// Guards against a streamed response that is cut off at the message's deadline: once the response has begun,
+/// the attempt belongs to the client.
 #[test]
 fn started_stream_is_not_cancelled_at_its_deadline() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
@@ -164,8 +183,8 @@
     assert!(later.iter().all(|(_, action)| matches!(action, Action::SetTimer { .. })), "{later:?}");
 }
 
-/// Guards against a message that is given up because its host could not begin attempts for a while, such as
-/// while the disk takes no records.
+/// Guards against a message that is given up because its host could not start attempts for a while, for
+/// example while the journal cannot be written.
 #[test]
 fn attempts_that_were_not_begun_do_not_count_towards_the_limit() {
     let mut controller = Controller::new(settings(), 1).expect("settings are valid");
@@ -176,7 +195,10 @@
     while attempts < 3 * settings().limits.max_attempts {
         actions.clear();
         controller.turn(now, &std::mem::take(&mut events), &mut actions);
-        assert!(!actions.iter().any(|action| matches!(action, Action::Reject { .. })), "after {attempts}");
+        assert!(
+            !actions.iter().any(|action| matches!(action, Action::Reject { .. })),
+            "rejected after {attempts} attempts that were not started"
+        );
         for (id, endpoint) in sends(&actions) {
             let end = attempt_end(id, attempts, endpoint, AttemptOutcome::NotSent);
             events.push(Event::AttemptEnded(AttemptEnd { was_started: false, ..end }));
--- a/crates/delivery-control/tests/controller/settings.rs
+++ b/crates/delivery-control/tests/controller/settings.rs
@@ -4,6 +4,8 @@
 
 use crate::support::{message_class, settings};
 
+/// Guards against settings that a controller cannot work with, such as a negative deadline: each must be
+/// refused with a typed error that says what is wrong.
 #[test]
 fn invalid_settings_are_typed_errors() {
     let without_classes = Settings { classes: Vec::new(), ..settings() };
--- a/crates/delivery-control/tests/controller/support/actions.rs
+++ b/crates/delivery-control/tests/controller/support/actions.rs
@@ -1,13 +1,13 @@
-//! Reads the sent messages out of a controller's actions.
+//! Extracts the sent messages from a controller's actions.
 
 use delivery_control::{Action, EndpointId, MessageId, Micros};
 
-/// The messages sent, each with its endpoint, in the order of the actions.
+/// Returns the messages sent, each with its endpoint, in the order of the actions.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId)> {
     actions.iter().filter_map(send).collect()
 }
 
-/// The messages sent, each with the time of sending and its endpoint, in the order of the actions.
+/// Returns the messages sent, each with the time of sending and its endpoint, in the order of the actions.
 pub fn timed_sends(actions: &[(Micros, Action)]) -> Vec<(Micros, MessageId, EndpointId)> {
     let timed_send = |(at, action): &(Micros, Action)| {
         let (id, endpoint) = send(action)?;
--- a/crates/delivery-control/tests/controller/support/events.rs
+++ b/crates/delivery-control/tests/controller/support/events.rs
@@ -1,4 +1,4 @@
-//! Builders of the events that a host reports.
+//! Builders of the events that a host reports to the controller.
 
 use delivery_control::{
     AmbiguousAttempt, AttemptEnd, AttemptOutcome, DestinationId, EndpointEntry, EndpointId, Event,
@@ -7,7 +7,7 @@
 
 use super::{ORDERED_IN_ZONE, SECOND, SHARED_LIMIT};
 
-/// A live endpoint in the zone that its number's parity gives, with no listed rate.
+/// A live endpoint without a listed rate; its zone is its number modulo 2.
 pub fn endpoint_entry(endpoint: EndpointId, destination: DestinationId, kind: usize) -> EndpointEntry {
     EndpointEntry {
         endpoint,
@@ -20,12 +20,12 @@
     }
 }
 
-/// Destination 10 with endpoint 1 and destination 20 with endpoint 2.
+/// Endpoint 1 of destination 10 and endpoint 2 of destination 20.
 pub fn two_destinations() -> Vec<EndpointEntry> {
     vec![endpoint_entry(1, 10, SHARED_LIMIT), endpoint_entry(2, 20, SHARED_LIMIT)]
 }
 
-/// The complete endpoint list.
+/// A snapshot of the endpoint list with these entries.
 pub fn endpoint_snapshot(entries: Vec<EndpointEntry>) -> Event {
     Event::EndpointsUpdated { update: UpdateKind::Snapshot, version: 1, entries }
 }
@@ -35,7 +35,7 @@
     Event::Maintenance { endpoint: 1, command }
 }
 
-/// A submission without tenant and order key, with the full time until its deadline.
+/// A submission without tenant and order key, with all the time until the deadline of its class left.
 pub fn message_submission(id: MessageId, class: usize, destination: DestinationId) -> MessageSubmission {
     MessageSubmission {
         id,
@@ -56,7 +56,7 @@
     Event::MessageSubmitted(message_submission(id, class, destination))
 }
 
-/// Clients submit a message for each of these ids.
+/// Clients submit one message for each of these ids, all of one class and for one destination.
 pub fn messages_submitted(
     ids: impl IntoIterator<Item = MessageId>,
     class: usize,
@@ -73,12 +73,12 @@
     })
 }
 
-/// A message comes from a predecessor process that made so many attempts.
+/// A message is recovered from a predecessor process, which made this number of attempts.
 pub fn message_recovered(id: MessageId, attempts: u32, first_ambiguous: Option<AmbiguousAttempt>) -> Event {
     Event::MessageRecovered { id, attempts, first_ambiguous }
 }
 
-/// The end of an attempt, with no Retry-After and no load report; final if it delivered the message.
+/// The end of an attempt, without Retry-After and load report; it is final if the message was delivered.
 pub fn attempt_end(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: AttemptOutcome) -> AttemptEnd {
     AttemptEnd {
         id,
@@ -111,7 +111,8 @@
     })
 }
 
-/// An attempt at endpoint 1 ends with a report of the fraction of the limit that remains, and of the limit.
+/// An attempt at endpoint 1 ends with a load report: the fraction of the limit that is left, and the limit in
+/// calls per second.
 pub fn attempt_ended_with_load_report(
     id: MessageId,
     attempt: u32,
--- a/crates/delivery-control/tests/controller/support/harness.rs
+++ b/crates/delivery-control/tests/controller/support/harness.rs
@@ -1,4 +1,4 @@
-//! A controller under a virtual clock.
+//! A controller that runs on a virtual clock.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,11 @@
 
 use super::{attempt_ended, endpoint_snapshot, sends, timed_sends, MILLISECOND, SECOND};
 
-/// Time of the first turn.
+/// Virtual time of the first turn.
 const START: Micros = 100 * SECOND;
-/// Step in which the clock advances while calls are answered.
+/// Step by which the clock advances while calls are answered.
 const ANSWER_STEP: Micros = 5 * MILLISECOND;
-/// Seed of the controller's random draws where a test does not choose one.
+/// Seed of the controller's random numbers where a test does not choose one.
 const DEFAULT_SEED: u64 = 7;
 
 /// One controller with its clock, the timers that it set, and its calls in flight.
@@ -22,7 +22,7 @@
     pub controller: Controller,
     /// The virtual time.
     pub now: Micros,
-    /// When the timers fall due that have not fired yet.
+    /// Due times of the timers that have not fired yet.
     pub timers: Vec<Micros>,
     /// Number of the latest attempt of each message.
     pub latest_attempts: BTreeMap<MessageId, u32>,
@@ -31,12 +31,12 @@
 }
 
 impl ControllerHarness {
-    /// A controller that knows these endpoints.
+    /// Creates a controller and reports these endpoints to it.
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         Self::with_seed(settings, entries, DEFAULT_SEED)
     }
 
-    /// A controller that knows these endpoints, with this seed of its random draws.
+    /// Creates a controller with this seed of its random numbers, and reports these endpoints to it.
     pub fn with_seed(settings: Settings, entries: Vec<EndpointEntry>, seed: u64) -> Self {
         let controller = Controller::new(settings, seed).expect("settings are valid");
         let mut harness = Self {
@@ -50,7 +50,7 @@
         harness
     }
 
-    /// Reports events at the present time; returns the controller's actions.
+    /// Runs a turn with these events at the present time; returns the controller's actions.
     pub fn turn(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.turn(self.now, events, &mut actions);
@@ -82,12 +82,12 @@
         timed_actions
     }
 
-    /// When the next timer falls due.
+    /// Due time of the next timer.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.iter().copied().min()
     }
 
-    /// Advances the clock to `at` and fires all timers that are due by then as one.
+    /// Advances the clock to `at` and fires all timers that are due by then in one turn.
     pub fn fire_timer(&mut self, at: Micros) -> Vec<Action> {
         self.timers.retain(|other| *other > at);
         self.now = self.now.max(at);
@@ -95,7 +95,7 @@
     }
 
     /// Advances the clock to `until` and ends each call to `endpoint` after `response_time` with `outcome`;
-    /// returns the times at which messages were sent, to whichever endpoint.
+    /// returns the times at which messages were sent to any endpoint.
     pub fn answer_calls(
         &mut self,
         endpoint: EndpointId,
@@ -117,7 +117,7 @@
         sent_at
     }
 
-    /// The ends of the calls to `endpoint` that were sent by then.
+    /// Returns the ends of the calls to `endpoint` that were sent no later than `sent_by`.
     fn due_answers(&self, endpoint: EndpointId, outcome: AttemptOutcome, sent_by: Micros) -> Vec<Event> {
         let mut answers = Vec::new();
         for (id, (sent_at, to)) in &self.in_flight {
--- a/crates/delivery-control/tests/controller/support/mod.rs
+++ b/crates/delivery-control/tests/controller/support/mod.rs
@@ -1,4 +1,4 @@
-//! Shared support of the controller's tests: settings, events and a harness with a virtual clock.
+//! Shared support code of the controller's tests: settings, events and a harness with a virtual clock.
 
 mod actions;
 mod events;
--- a/crates/delivery-control/tests/controller/support/settings.rs
+++ b/crates/delivery-control/tests/controller/support/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that the tests start from.
+//! Default settings of the tests.
 
 use delivery_control::{
     DestinationKind, DiscoveryMode, Idempotency, IdempotencyScope, Limits, MessageClass, Micros, Prices,
@@ -7,20 +7,20 @@
 
 use super::{MILLISECOND, SECOND};
 
-/// Index of the class whose messages may always be repeated.
+/// Index of the class whose messages may be repeated without restriction.
 pub const IDEMPOTENT: usize = 0;
 /// Index of the class whose messages may be repeated under their idempotency key.
 pub const IDEMPOTENT_WITH_KEY: usize = 1;
 /// Index of the class whose messages may not be repeated once they may have taken effect.
 pub const NOT_IDEMPOTENT: usize = 2;
-/// Index of the ordered class, whose idempotency keys hold within a zone.
+/// Index of the ordered class, whose idempotency keys are known within one zone only.
 pub const ORDERED_IN_ZONE: usize = 3;
 
 /// Index of the kind whose endpoints share one rate limit.
 pub const SHARED_LIMIT: usize = 0;
 /// Index of the kind whose endpoints have a rate limit each.
 pub const LIMIT_PER_ENDPOINT: usize = 1;
-/// Index of the kind whose endpoints take several messages in one batch.
+/// Index of the kind whose endpoints accept several messages in one call.
 pub const BATCHES: usize = 2;
 
 /// Time after which a message of any class is given up.
@@ -42,8 +42,8 @@
     }
 }
 
-/// Settings of one of two senders, with the classes and kinds that the constants of this module name, two
-/// zones and two tenants.
+/// Settings of the first of two senders, with the classes and kinds to which the constants of this module
+/// refer, two zones and two tenants.
 pub fn settings() -> Settings {
     Settings {
         classes: classes(),
