--- a/crates/delivery-control/src/ordering.rs
+++ b/crates/delivery-control/src/ordering.rs
@@ -1,10 +1,11 @@
-//! Messages of one order key go one at a time, in order. After an attempt that may still run at its endpoint,
-//! the key is quarantined for all messages but that attempt's own.
+//! Ordered delivery: messages with the same order key are sent one at a time, in order. After an attempt
+//! that may still be running at its endpoint, the key is quarantined for all messages except the attempt's
+//! own.
 
 use crate::model::{Attempt, Context, State};
 use crate::{AttemptEnd, AttemptOutcome, MessageId};
 
-/// Takes in how an attempt of an ordered message ended.
+/// Applies the end of an attempt to the queue of its message's order key, if it has one.
 pub(crate) fn record_attempt_end(context: Context, state: &mut State, attempt: &Attempt, end: &AttemptEnd) {
     let Some(key) = attempt.order_key.as_ref().filter(|key| state.queues.contains(key, end.id)) else {
         return;
@@ -15,7 +16,8 @@
     advance(context, state, key, end.id);
 }
 
-/// Lets the next message of a key go, once one has ended, has no attempt in flight and no notice pending.
+/// Removes a message from the queue of its order key, so that the next one may be sent, once the message
+/// has ended, has no attempt in flight and no pending notice.
 pub(crate) fn advance(context: Context, state: &mut State, key: &str, id: MessageId) {
     let has_attempt = state.in_flight.has_attempt_of(id);
     if has_attempt || state.messages.contains(id) || state.queues.is_notice_pending(id) {
--- a/crates/delivery-control/src/turn.rs
+++ b/crates/delivery-control/src/turn.rs
@@ -1,4 +1,5 @@
-//! One turn: in which order the policies decide, and what the end of an attempt or a message changes.
+//! One turn of the controller: the order in which the policies decide, and the state changes when a message
+//! is submitted or recovered and when an attempt or a message ends.
 
 use crate::model::{AttemptKey, AttemptResult, Context, RareCallRate, State, Subscription, TenantQuotas};
 use crate::retry::{jitter_factor, jittered};
@@ -6,7 +7,7 @@
 use crate::{endpoints, ordering, retry, Action, AmbiguousAttempt, AttemptEnd, AttemptOutcome};
 use crate::{EndpointEntry, MessageId, MessageSubmission, Micros, UpdateKind};
 
-/// What a turn works on.
+/// What one turn reads and changes.
 pub(crate) struct Turn<'a> {
     pub context: Context<'a>,
     pub state: &'a mut State,
@@ -14,11 +15,13 @@
     pub rare_call_rate: &'a mut RareCallRate,
     pub subscription: &'a mut Subscription,
     pub random: &'a mut fastrand::Rng,
+    /// Actions for the host, in the order in which it carries them out.
     pub actions: &'a mut Vec<Action>,
 }
 
 impl Turn<'_> {
-    /// Decides once the events have been taken in; returns when the next turn is due at the latest.
+    /// Runs the policies after all events of the turn have been applied. Returns the time by which the next
+    /// turn must run, if any.
     pub fn decide(&mut self) -> Option<Micros> {
         if self.subscription.take_due_attempt(self.context.now) {
             self.actions.push(Action::Subscribe { on: true });
@@ -41,6 +44,7 @@
         Dispatcher { context: self.context, state: self.state, random: self.random, actions: self.actions }
     }
 
+    /// Applies an update of the endpoint list, or the failure to get one.
     pub fn update_endpoints(&mut self, update: UpdateKind, entries: &[EndpointEntry]) {
         self.subscription.record_update(self.context, update, self.random);
         if update != UpdateKind::Failed {
@@ -48,6 +52,7 @@
         }
     }
 
+    /// Buffers a submitted message, or rejects it if its class is unknown.
     pub fn admit(&mut self, submission: &MessageSubmission) {
         let id = submission.id;
         let Some(message) = self.quotas.admit(self.context, submission) else {
@@ -57,7 +62,8 @@
         self.state.insert(id, message, latest_start);
     }
 
-    /// Takes in what a predecessor process did for a message.
+    /// Applies what a predecessor process did for a message that was submitted again in this turn. The
+    /// recovered messages of a destination are spread out over time.
     pub fn recover(&mut self, id: MessageId, attempts: u32, first_ambiguous: Option<AmbiguousAttempt>) {
         let limit = self.state.lowest_listed_limit(id);
         let interval = jittered(retry::recovery_interval(self.context, limit), self.random);
@@ -66,12 +72,14 @@
         let destination = self.state.endpoints.destination_mut(message.destination);
         let others_waiting = destination.waiting.len() as Micros - 1;
         let ready_at = retry::recovery_start(self.context, message, interval * others_waiting);
-        let first_ambiguous = first_ambiguous.map(|first| retry::plausible(self.context, first));
+        let first_ambiguous =
+            first_ambiguous.map(|first| retry::replace_future_send_time(self.context, first));
         message.recover(attempts, first_ambiguous, ready_at);
-        // It came in the predecessor's time: the count starts with what comes in this one's.
+        // The message arrived at the predecessor; this process counts only the arrivals of its own time.
         self.state.endpoints.discount_arrival(message.destination);
     }
 
+    /// Applies the end of an attempt to its call, route, order key and message.
     pub fn record_attempt_end(&mut self, end: &AttemptEnd) {
         let key = AttemptKey { message: end.id, number: end.attempt };
         let Some(attempt) = self.state.in_flight.remove_attempt(key) else { return };
@@ -97,19 +105,21 @@
         retry::schedule_retry(self.context, message, &result, jitter_factor);
         if message.rejected {
             let interval = self.rare_call_rate.yield_interval();
-            retry::yield_to_others(self.context, message, interval, jitter_factor);
+            retry::yield_to_first_attempts(self.context, message, interval, jitter_factor);
         }
         self.state.messages.schedule_end_check(end.id, self.context.now);
         self.state.enqueue(end.id);
     }
 
-    /// Removes a message that has its final answer, or needs none.
+    /// Removes a message that has its final answer or needs none, and advances the queue of its order key.
     pub fn remove(&mut self, id: MessageId) {
         if let Some(key) = self.state.remove(id).and_then(|message| message.order_key) {
             ordering::advance(self.context, self.state, &key, id);
         }
     }
 
+    /// Answers a message that is given up, and removes it. Where notices are acknowledged, its order key
+    /// stays blocked until then.
     fn give_up(&mut self, id: MessageId, retry_after: Micros) {
         let Some(message) = self.state.messages.get(id) else { return };
         self.actions.push(retry::give_up(self.context, id, message, retry_after));
@@ -119,13 +129,15 @@
         self.remove(id);
     }
 
+    /// Gives up messages whose time is up: at the latest start of an attempt or, with an attempt in flight,
+    /// one turn interval before the deadline. Streaming messages are left alone.
     fn end_expired(&mut self) {
         while let Some(id) = self.state.messages.take_due_end_check(self.context.now) {
             let message = self.state.messages.get(id).filter(|message| !message.streaming);
             let Some(message) = message else { continue };
-            let last_answer = message.deadline - self.context.settings.turn_interval;
+            let latest_answer = message.deadline - self.context.settings.turn_interval;
             let due =
-                if message.in_flight { last_answer } else { retry::latest_start(self.context, message) };
+                if message.in_flight { latest_answer } else { retry::latest_start(self.context, message) };
             if due <= self.context.now {
                 self.give_up(id, retry::EXPIRED_RETRY_AFTER);
             } else {
