--- a/crates/delivery-control/src/dispatch.rs
+++ b/crates/delivery-control/src/dispatch.rs
@@ -1,18 +1,22 @@
-//! Which message goes next, and to which endpoint.
+//! Dispatch: which message is sent next, and to which endpoint.
 
 use crate::model::{CallId, Candidate, Choice, Context, Eligibility, Health, Message};
 use crate::model::{State, View, SECOND};
 use crate::{admission::value_at, endpoints::UNKNOWN_LATENCY, retry};
 use crate::{Action, DestinationId, EndpointId, MessageId, Micros};
 
-const COST_LATENCY: f64 = 20e6; // Answer time in µs that a unit of cost weighs in the choice
-const FAILURE_LATENCY: f64 = 4e6; // Answer time in µs that a failure in a row weighs in the choice
-/// Time in µs for which a message is taken to use its permit, where no endpoint is available, and at least.
+/// Latency in µs that a unit of cost counts as in the choice of an endpoint.
+const LATENCY_PER_COST: f64 = 20e6;
+/// Latency in µs that each consecutive failure counts as in the choice of an endpoint.
+const LATENCY_PER_FAILURE: f64 = 4e6;
+/// Bounds in µs of the time for which a message is expected to use its permit. The upper one also applies
+/// where no endpoint is available.
 const MAX_PERMIT_TIME: f64 = 10.0 * UNKNOWN_LATENCY;
 const MIN_PERMIT_TIME: f64 = UNKNOWN_LATENCY / 8.0;
-const SLOW_START_CREDIT: Micros = SECOND; // Calls that were not made for this long may be made up for
+/// Time in µs for which slow-start calls that were not made may be made up for.
+const SLOW_START_CREDIT: Micros = SECOND;
 
-/// Sends what may be sent.
+/// Sends the messages that are eligible, and cancels attempts to free permits.
 pub(crate) struct Dispatcher<'a> {
     pub context: Context<'a>,
     pub state: &'a mut State,
@@ -21,8 +25,9 @@
 }
 
 impl Dispatcher<'_> {
-    /// Looks at the destinations that something happened to, or whose time or permit has come, and sends what
-    /// may be sent, the most urgent first. Returns when a call may be cancelled for its permit.
+    /// Sends the eligible messages, the most urgent first, of all destinations that changed, whose wake-up
+    /// is due, or that waited for a permit while one is free. Returns when an attempt may next be cancelled
+    /// to free its permit, if messages wait for one.
     pub fn run(&mut self) -> Option<Micros> {
         let limits = &self.context.settings.limits;
         self.state.wake_ups.release_due(self.context.now);
@@ -45,7 +50,8 @@
         self.state.view(self.context)
     }
 
-    /// Sends a message to the cheapest endpoint that it may go to, or notes when to look again.
+    /// Sends a message to the cheapest endpoint that it is eligible for, or schedules the next look at its
+    /// destination.
     fn dispatch(&mut self, id: MessageId) {
         let destination = self.state.messages[id].destination;
         let choice = self.view().choose(id, destination);
@@ -59,6 +65,7 @@
         }
     }
 
+    /// Sends a message in a call of this turn that has room for it, or else in a new one.
     fn send(&mut self, id: MessageId, to: EndpointId) {
         let chance = self.random.f64();
         let message = &self.state.messages[id];
@@ -70,6 +77,7 @@
         self.actions.push(Action::Send { id, endpoint: to, timeout, begin_by });
     }
 
+    /// Starts a call, and updates the endpoint's connections and health and the route's rate limit.
     fn start_call(&mut self, to: EndpointId, chance: f64) -> CallId {
         let now = self.context.now;
         let call = self.state.in_flight.start_call(to, now);
@@ -85,7 +93,8 @@
         call
     }
 
-    /// Cancels the call that is overdue first, when others wait for its permit; or returns when one will be.
+    /// Cancels the attempt that has been overdue the longest, since messages wait for its permit. If none
+    /// is overdue yet, returns when one will be.
     fn free_permit(&mut self) -> Option<Micros> {
         let stuck = self.view().first_stuck_attempt()?;
         if stuck.overdue_at >= self.context.now {
@@ -98,6 +107,7 @@
 }
 
 impl View<'_> {
+    /// Adds the waiting messages of a destination, with their urgencies.
     fn add_candidates(&self, id: DestinationId, candidates: &mut Vec<Candidate>) {
         let Some(destination) = self.state.endpoints.destination(id) else { return };
         let later = self.context.now + self.expected_wait(destination);
@@ -110,18 +120,21 @@
         }
     }
 
+    /// Value that is lost if the message waits until `later`, for each µs of permit use. Recovered messages
+    /// without an attempt go first.
     fn urgency(&self, id: MessageId, message: &Message, later: Micros, permit_time: f64) -> f64 {
         if message.recovered_unattempted {
             return f64::MAX;
         }
         let value = |message, at| value_at(self.context, message, at);
         let loss = |message| value(message, self.context.now) - value(message, later);
-        // The first of a key holds up all behind it, wherever they go.
+        // The head of an order key's queue holds up all messages behind it, whatever their destinations.
         let followers = self.state.queues.followers(message.order_key.as_ref(), id);
         let held_up: f64 = followers.filter_map(|id| self.state.messages.get(id)).map(loss).sum();
         (loss(message) + held_up) / permit_time
     }
 
+    /// Picks the cheapest endpoint that the message is eligible for, and notes what the others wait for.
     fn choose(&self, id: MessageId, destination: DestinationId) -> Choice {
         let mut choice = Choice::default();
         let mut eligible = Vec::new();
@@ -137,23 +150,23 @@
         choice
     }
 
-    /// Expected time to an answer in µs, with costs counted as time.
+    /// Expected latency of an endpoint in µs, with costs and failures counted as latency.
     fn cost(&self, id: EndpointId) -> f64 {
         let endpoint = &self.state.endpoints[id];
         let settings = self.context.settings;
         let is_connected = endpoint.has_idle_connection(self.context.now, settings.limits.connection_idle);
         let zone = endpoint.route.endpoint.and(settings.zones.get(endpoint.zone));
         let fee = zone.map_or(0.0, |zone| zone.fee);
-        let crossing = if endpoint.zone == settings.zone { 0.0 } else { settings.prices.cross_zone };
+        let cross_zone = if endpoint.zone == settings.zone { 0.0 } else { settings.prices.cross_zone };
         let handshake = if is_connected { 0.0 } else { settings.prices.handshake };
         let joins_batch = self.state.in_flight.has_batch(id);
         let queue = if joins_batch { 1.0 } else { 1.0 + self.state.in_flight.calls_to(id) as f64 };
-        let costs = (fee + crossing + handshake) * COST_LATENCY;
-        endpoint.latency * queue + costs + FAILURE_LATENCY * f64::from(endpoint.consecutive_failures)
+        let costs = (fee + cross_zone + handshake) * LATENCY_PER_COST;
+        endpoint.latency * queue + costs + LATENCY_PER_FAILURE * f64::from(endpoint.consecutive_failures)
     }
 
-    /// The endpoint's health once a call is made: a call to an ejected one is its probe, and each call of a
-    /// slow start puts the next one off.
+    /// Health of an endpoint after `call` was sent to it: a call to an ejected endpoint is its probe, and
+    /// each call of a slow start postpones the next one.
     fn health_after_call(&self, to: EndpointId, call: CallId) -> Health {
         let now = self.context.now;
         let endpoint = &self.state.endpoints[to];
--- a/crates/delivery-control/src/endpoints.rs
+++ b/crates/delivery-control/src/endpoints.rs
@@ -1,13 +1,15 @@
-//! Which endpoints are available: what is listed, what an operator drained, and what is remembered of
-//! endpoints that departed.
+//! Availability of endpoints: updates of the endpoint list, maintenance commands of operators, and how long
+//! departed endpoints are remembered.
 
 use crate::model::{Context, Ejection, Endpoint, Health, RateLimit, RouteKey, State, SECOND};
 use crate::{EndpointEntry, EndpointId, ListingState, MaintenanceCommand, Micros, UpdateKind};
 
-pub(crate) const UNKNOWN_LATENCY: f64 = 400_000.0; // In µs; assumed of an endpoint that has not answered yet
-const DEPARTED_OUTAGE_MEMORY: Micros = 60 * SECOND; // Nothing ends the outage of what gets no calls
+pub(crate) const UNKNOWN_LATENCY: f64 = 400_000.0; // In µs; assumed for an endpoint without a delivery yet
+/// How long the outage of a departed endpoint is remembered, in µs: it gets no calls that could end the
+/// outage.
+const DEPARTED_OUTAGE_MEMORY: Micros = 60 * SECOND;
 
-/// Takes in an endpoint list, or changes to it.
+/// Applies an endpoint list, or changes to it.
 pub(crate) fn update(context: Context, state: &mut State, kind: UpdateKind, entries: &[EndpointEntry]) {
     if kind != UpdateKind::Delta {
         state.endpoints.clear_listing(context.now);
@@ -18,6 +20,7 @@
     forget_departed(context, state);
 }
 
+/// Applies one line of an endpoint list to its endpoint and the endpoint's route.
 fn apply_entry(context: Context, state: &mut State, entry: &EndpointEntry) {
     let &EndpointEntry { endpoint: id, destination, zone, listing, .. } = entry;
     let kind = context.settings.kinds.get(entry.kind);
@@ -27,7 +30,7 @@
     let latency = UNKNOWN_LATENCY;
     let listed = Endpoint { route, zone, batch_size, listing, latency, ..Endpoint::default() };
     let previous = state.endpoints.relist(id, listed);
-    // A Retry-After binds the endpoint under whatever destination or kind it is listed again.
+    // A Retry-After stays in force when the endpoint is listed again under another destination or kind.
     let retry_after_until = state.endpoints.rate_limit(previous).map_or(0, RateLimit::retry_after_until);
     let rate_limit = state.endpoints.rate_limit_mut(route);
     rate_limit.extend_retry_after(retry_after_until);
@@ -37,7 +40,8 @@
     update_availability(context, state, id);
 }
 
-/// Calls may go to endpoints that are listed as live, and not drained by an operator.
+/// Makes an endpoint available if it is listed as live and not drained by an operator, otherwise
+/// unavailable.
 fn update_availability(context: Context, state: &mut State, id: EndpointId) {
     let Some(endpoint) = state.endpoints.get(id) else { return };
     let available = endpoint.listing == ListingState::Live && !state.endpoints.is_manually_drained(id);
@@ -45,8 +49,9 @@
     state.endpoints.set_available(id, available, context.now);
 }
 
-/// Drained by an operator, an endpoint drains whatever is listed. It is restarted meanwhile, which is an
-/// outage: restored, it gets one probe, and then starts slowly.
+/// Applies a maintenance command of an operator. A drained endpoint stays unavailable whatever the endpoint
+/// list says. It is restarted in the meantime, which is an outage: when restored, it gets one probe, and
+/// then a slow start.
 pub(crate) fn maintain(context: Context, state: &mut State, id: EndpointId, command: MaintenanceCommand) {
     if command == MaintenanceCommand::Drain {
         state.endpoints.drain_manually(id, context.now);
@@ -60,8 +65,8 @@
     update_availability(context, state, id);
 }
 
-/// Forgets endpoints that departed, once nothing is in flight there and no Retry-After, outage or manual
-/// drain must be remembered.
+/// Forgets departed endpoints that are no longer listed, once nothing is in flight to them and no
+/// Retry-After, outage or manual drain has to be remembered.
 fn forget_departed(context: Context, state: &mut State) {
     for (id, since) in state.endpoints.departed() {
         if !must_remember(context, state, id, since) {
--- a/crates/delivery-control/src/health.rs
+++ b/crates/delivery-control/src/health.rs
@@ -1,37 +1,44 @@
-//! What an endpoint's record says of its health: quiet, unresponsive, or done with its slow start.
+//! Health of a single endpoint as derived from its record: the time since its last delivery, the response
+//! timeout, and the end of a slow start.
 
 use crate::model::{Context, Endpoint, Health, SECOND};
 use crate::Micros;
 
-const UNRESPONSIVE_LATENCIES: f64 = 6.0; // Unresponsive: no answer for so many usual answer times
-const MIN_UNRESPONSIVE: Micros = 1_500_000; // And for this time at least
-const COLD_AFTER: Micros = 3 * SECOND; // Without a delivery for this long, an outage leaves an endpoint cold
-const MAX_QUIET: Micros = 10 * SECOND; // An outage is not taken to have begun long before it was found
+/// An endpoint is unresponsive after this multiple of its average latency without an answer.
+const UNRESPONSIVE_LATENCIES: f64 = 6.0;
+const MIN_UNRESPONSIVE: Micros = 1_500_000; // Lower bound of that time in µs
+/// An outage leaves an endpoint cold if it had no delivery for this long, in µs.
+const COLD_AFTER: Micros = 3 * SECOND;
+/// Upper bound in µs of the time without a delivery, since an outage is not assumed to have begun long
+/// before it was detected.
+const MAX_TIME_WITHOUT_DELIVERY: Micros = 10 * SECOND;
 
 impl Endpoint {
-    /// How long nothing was delivered, as far as it matters.
-    fn quiet_time(&self, now: Micros) -> Micros {
-        self.delivered_at.map_or(MAX_QUIET, |at| now - at).min(MAX_QUIET)
+    /// Time since the last delivery in µs, up to [`MAX_TIME_WITHOUT_DELIVERY`]; that bound if there was
+    /// none.
+    fn time_without_delivery(&self, now: Micros) -> Micros {
+        self.delivered_at.map_or(MAX_TIME_WITHOUT_DELIVERY, |at| now - at).min(MAX_TIME_WITHOUT_DELIVERY)
     }
 
-    /// Nothing was delivered for so long that an outage leaves the endpoint cold.
-    pub fn is_quiet(&self, now: Micros) -> bool {
-        self.quiet_time(now) >= COLD_AFTER
+    /// Whether the last delivery was so long ago that an outage leaves the endpoint cold.
+    pub fn lacks_recent_delivery(&self, now: Micros) -> bool {
+        self.time_without_delivery(now) >= COLD_AFTER
     }
 
-    /// When an outage that is found now began. Where calls are rare, that is halfway since the last delivery
-    /// on average.
+    /// Estimated start of an outage that is detected now. Where calls are rare, that is on average halfway
+    /// between the last delivery and now.
     pub fn outage_start(&self, now: Micros) -> Micros {
-        let undetected = if self.is_quiet(now) { self.quiet_time(now) / 2 } else { 0 };
-        now - undetected
+        let undetected_time =
+            if self.lacks_recent_delivery(now) { self.time_without_delivery(now) / 2 } else { 0 };
+        now - undetected_time
     }
 
-    /// A call without an answer for this long means that the endpoint is unresponsive.
+    /// A call without an answer for this long, in µs, means that the endpoint is unresponsive.
     pub fn response_timeout(&self) -> Micros {
         MIN_UNRESPONSIVE.max((self.latency * UNRESPONSIVE_LATENCIES) as Micros)
     }
 
-    /// The health as of now: a slow start ends by itself.
+    /// Current health: a slow start ends once the warm-up time has passed.
     pub fn health_now(&self, context: Context) -> Health {
         let warm_up_time = context.settings.rules.warm_up_time;
         match self.health {
--- a/crates/delivery-control/src/subscription.rs
+++ b/crates/delivery-control/src/subscription.rs
@@ -1,18 +1,19 @@
-//! When to subscribe to changes of the endpoint list: at the start and again after errors, with backoff.
+//! When to subscribe to changes of the endpoint list: at the start, again with backoff after errors, and
+//! again if no answer arrives.
 
 use crate::model::{Context, Subscription, SECOND};
 use crate::{retry::jittered, DiscoveryMode, Micros, UpdateKind};
 
-const INITIAL_BACKOFF: Micros = SECOND; // After the first failure
-const MAX_DOUBLINGS: u32 = 3; // Of the backoff, with each further failure
-const ANSWER_TIMEOUT: Micros = 10 * SECOND; // How long the answer may take
+const INITIAL_BACKOFF: Micros = SECOND; // In µs, after the first failure
+const MAX_DOUBLINGS: u32 = 3; // The backoff doubles with each further failure, up to this often
+const ANSWER_TIMEOUT: Micros = 10 * SECOND; // How long the answer to a subscription may take, in µs
 
 impl Subscription {
     pub fn new(mode: DiscoveryMode) -> Self {
         Self { next_attempt_at: (mode == DiscoveryMode::Subscribe).then_some(Micros::MIN), failures: 0 }
     }
 
-    /// Takes in that an update arrived or failed. A list from the disk says nothing of the subscription.
+    /// Records that an update arrived or failed. A cached list says nothing about the subscription.
     pub fn record_update(&mut self, context: Context, update: UpdateKind, random: &mut fastrand::Rng) {
         if update == UpdateKind::Failed {
             let backoff = jittered(INITIAL_BACKOFF << self.failures, random);
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Whether to subscribe now. If so, the next attempt comes when no answer does.
+    /// Whether to subscribe now. If so, the next attempt is scheduled for the case that no answer arrives.
     pub fn take_due_attempt(&mut self, now: Micros) -> bool {
         let is_due = self.next_attempt_at.is_some_and(|at| at <= now);
         if is_due {
