--- a/crates/delivery-control/src/invariants.rs
+++ b/crates/delivery-control/src/invariants.rs
@@ -1,8 +1,10 @@
-//! The rules that no sender may break, checked at run time against a record of attempts of their own.
+//! Invariants that no sender may violate, checked at run time against a separate record of messages and
+//! attempts.
 //!
-//! The policies are built so that each rule holds; [`AttemptGuard`] does not use their state. It is asked
-//! right before the first byte of an attempt is sent, when a message ends, and when the journal is audited. A
-//! violation is a fault of the program: the attempt is not made, and the host counts and logs it.
+//! The policies are designed so that each invariant holds; [`AttemptGuard`] does not use their state. The
+//! host asks it right before the first byte of an attempt is sent, when a message ends, and when the
+//! journal is audited. A violation is a bug in the program: the attempt is not made, and the host counts
+//! and logs the violation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,38 +12,41 @@
 use crate::ids::{DestinationId, MessageId, Micros};
 use crate::settings::{Idempotency, IdempotencyScope};
 
-const SEND_DELAY: Micros = 200_000; // Between a decision and its first byte, where the process is held up
-const END_GRACE: Micros = 300_000; // The platform counts a message as lost so long after its deadline
+/// Allowed time in µs from a decision to the first byte, since the process may be held up in between.
+const MAX_SEND_DELAY: Micros = 200_000;
+/// The platform counts a message as lost this long after its deadline, in µs.
+const END_GRACE: Micros = 300_000;
 
-/// A rule that was broken.
+/// An invariant. Each variant is named after the rule, and described by what violates it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// An attempt starts while another one of the message is in flight.
     OneAttemptAtATime,
-    /// An attempt starts of a message that has ended.
+    /// An attempt starts for a message that has ended.
     NoAttemptAfterEnd,
     /// An attempt goes to an endpoint of another destination.
     OwnDestination,
-    /// An attempt repeats one that may have taken effect, where that is not allowed.
+    /// An attempt repeats one that may have taken effect, although the message may not be repeated.
     NoUnsafeRepeat,
     /// A repeat under an idempotency key starts outside the key's window or zone.
     RepeatWithinWindow,
     /// An attempt starts after the message's deadline.
     NoAttemptAfterDeadline,
-    /// An attempt starts while an earlier message of its order key is open.
+    /// An attempt starts while an earlier message of its order key is open, or has an unacknowledged
+    /// notice.
     OrderOfKey,
-    /// A message ends later than the platform waits for.
+    /// A message ends after the platform has counted it as lost.
     EndInTime,
-    /// The journal holds a message as open that the process does not know.
+    /// The journal holds a message as open that is not open in the process.
     JournalHoldsNoOrphan,
-    /// The process knows a message that the journal does not hold.
+    /// A message is open in the process, but not in the journal.
     OpenMessageIsJournalled,
-    /// A client's request was received in full, and its connection closed here without an answer.
+    /// A client's request was received in full, but this sender closed its connection without an answer.
     RequestIsAnswered,
 }
 
 impl Invariant {
-    /// All of them, in the order of metrics.
+    /// All invariants, in the order of the metrics.
     pub const ALL: [Self; 11] = [
         Self::OneAttemptAtATime,
         Self::NoAttemptAfterEnd,
@@ -57,31 +62,31 @@
     ];
 }
 
-/// What the guard knows of a message from the start.
+/// What the guard is told about a message when that is accepted or recovered.
 #[derive(Debug, Clone)]
 pub struct GuardedMessage {
-    /// Where it goes.
+    /// The destination of the message.
     pub destination: DestinationId,
-    /// When it must have ended.
+    /// Time by which the message must have ended.
     pub deadline: Micros,
-    /// Whether it may be repeated once it may have taken effect.
+    /// Whether the message may be sent again after an attempt that may have taken effect.
     pub idempotency: Idempotency,
-    /// Where the idempotency key is known.
+    /// Which endpoints share the record of idempotency keys.
     pub idempotency_scope: IdempotencyScope,
-    /// For how long the idempotency key is known.
+    /// How long repeats are dropped, in µs from the first ambiguous attempt on.
     pub idempotency_window: Micros,
-    /// The key within which messages keep their order.
+    /// The order key, if the message is ordered.
     pub order_key: Option<String>,
-    /// The first attempt of an earlier process that may have taken effect.
+    /// The first attempt that may have taken effect; at the start, one of an earlier process.
     pub first_ambiguous: Option<AmbiguousAttempt>,
 }
 
 /// An attempt that is about to be sent.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptStarting {
-    /// The message.
+    /// Identifies the message.
     pub id: MessageId,
-    /// Number of the attempt.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
     /// The destination that its endpoint belongs to.
     pub destination: DestinationId,
@@ -89,41 +94,46 @@
     pub zone: usize,
 }
 
+/// An open message and its attempt in flight, if any.
 #[derive(Debug)]
-struct Record {
+struct OpenMessage {
     message: GuardedMessage,
-    in_flight: Option<Started>,
+    in_flight: Option<InFlightAttempt>,
 }
 
+/// An attempt in flight, with its send time and zone.
 #[derive(Debug, Clone, Copy)]
-struct Started {
+struct InFlightAttempt {
     attempt: u32,
     at: AmbiguousAttempt,
 }
 
-/// Checks attempts and ends of messages against the rules.
+/// Checks the attempts and ends of messages against the invariants.
 #[derive(Debug, Default)]
 pub struct AttemptGuard {
-    open: BTreeMap<MessageId, Record>,
-    /// Messages of each order key that are open, or whose notice is not acknowledged.
+    /// Messages without a final answer, by id.
+    open: BTreeMap<MessageId, OpenMessage>,
+    /// For each order key, its messages that are open or whose notice is not acknowledged.
     order_keys: BTreeMap<String, BTreeSet<MessageId>>,
-    keys_of_notices: BTreeMap<MessageId, String>,
+    /// Order keys of messages whose notice is not acknowledged.
+    pending_notices: BTreeMap<MessageId, String>,
 }
 
 impl AttemptGuard {
-    /// A message was accepted or recovered.
+    /// Adds a message that was accepted or recovered.
     pub fn open(&mut self, id: MessageId, message: GuardedMessage) {
         if let Some(key) = &message.order_key {
             self.order_keys.entry(key.clone()).or_default().insert(id);
         }
-        self.open.insert(id, Record { message, in_flight: None });
+        self.open.insert(id, OpenMessage { message, in_flight: None });
     }
 
-    /// An attempt is about to be sent: it may be only if this is `Ok`.
+    /// Checks an attempt that is about to be sent, and records it as in flight. It may be sent only if this
+    /// returns `Ok`.
     ///
     /// # Errors
     ///
-    /// The rule that it would break.
+    /// The invariant that the attempt would violate.
     pub fn start(&mut self, now: Micros, starting: AttemptStarting) -> Result<(), Invariant> {
         let record = self.open.get(&starting.id).ok_or(Invariant::NoAttemptAfterEnd)?;
         if record.in_flight.is_some_and(|started| started.attempt != starting.attempt) {
@@ -132,7 +142,7 @@
         self.check_rules(now, starting, &record.message)?;
         let at = AmbiguousAttempt { sent_at: now, zone: starting.zone };
         if let Some(record) = self.open.get_mut(&starting.id) {
-            record.in_flight = Some(Started { attempt: starting.attempt, at });
+            record.in_flight = Some(InFlightAttempt { attempt: starting.attempt, at });
         }
         Ok(())
     }
@@ -146,7 +156,7 @@
         if message.destination != starting.destination {
             return Err(Invariant::OwnDestination);
         }
-        if now > message.deadline + SEND_DELAY {
+        if now > message.deadline + MAX_SEND_DELAY {
             return Err(Invariant::NoAttemptAfterDeadline);
         }
         let keys = message.order_key.as_ref().and_then(|key| self.order_keys.get(key));
@@ -157,22 +167,22 @@
             (None, _) | (_, Idempotency::Always) => Ok(()),
             (Some(_), Idempotency::Never) => Err(Invariant::NoUnsafeRepeat),
             (Some(first), Idempotency::WithKey) => {
-                let is_in_window = now <= first.sent_at + message.idempotency_window + SEND_DELAY;
-                let knows_key =
+                let is_in_window = now <= first.sent_at + message.idempotency_window + MAX_SEND_DELAY;
+                let is_key_known =
                     message.idempotency_scope == IdempotencyScope::All || first.zone == starting.zone;
-                (is_in_window && knows_key).then_some(()).ok_or(Invariant::RepeatWithinWindow)
+                (is_in_window && is_key_known).then_some(()).ok_or(Invariant::RepeatWithinWindow)
             }
         }
     }
 
-    /// A predecessor process has an attempt of the message in flight.
+    /// Records that a predecessor process has an attempt of the message in flight.
     pub fn resume_attempt(&mut self, id: MessageId, attempt: u32, at: AmbiguousAttempt) {
         if let Some(record) = self.open.get_mut(&id) {
-            record.in_flight = Some(Started { attempt, at });
+            record.in_flight = Some(InFlightAttempt { attempt, at });
         }
     }
 
-    /// An attempt ended, or was not sent after all.
+    /// Records that an attempt ended, or was not sent after all.
     pub fn end_attempt(&mut self, id: MessageId, attempt: u32, outcome: AttemptOutcome) {
         let Some(record) = self.open.get_mut(&id) else { return };
         let Some(started) = record.in_flight.take_if(|started| started.attempt == attempt) else { return };
@@ -181,16 +191,17 @@
         }
     }
 
-    /// A message ended; with a notice, its order key waits until that is acknowledged.
+    /// Records that a message ended. With a notice, the later messages of its order key wait until the
+    /// notice is acknowledged.
     ///
     /// # Errors
     ///
-    /// [`Invariant::EndInTime`] if it ended too late.
+    /// [`Invariant::EndInTime`] if the message ended too late.
     pub fn close(&mut self, now: Micros, id: MessageId, with_notice: bool) -> Result<(), Invariant> {
         let Some(record) = self.open.remove(&id) else { return Ok(()) };
         if let Some(key) = record.message.order_key {
             if with_notice {
-                self.keys_of_notices.insert(id, key);
+                self.pending_notices.insert(id, key);
             } else {
                 self.release_key(&key, id);
             }
@@ -201,19 +212,20 @@
         Ok(())
     }
 
-    /// The notice of a message is pending from an earlier process.
+    /// Adds the pending notice of a message that an earlier process ended.
     pub fn await_notice(&mut self, id: MessageId, order_key: String) {
         self.order_keys.entry(order_key.clone()).or_default().insert(id);
-        self.keys_of_notices.insert(id, order_key);
+        self.pending_notices.insert(id, order_key);
     }
 
-    /// The platform acknowledged the notice of a message.
+    /// Records that the platform acknowledged the notice of a message.
     pub fn acknowledge_notice(&mut self, id: MessageId) {
-        if let Some(key) = self.keys_of_notices.remove(&id) {
+        if let Some(key) = self.pending_notices.remove(&id) {
             self.release_key(&key, id);
         }
     }
 
+    /// Removes a message from those that its order key waits for.
     fn release_key(&mut self, key: &str, id: MessageId) {
         let Some(messages) = self.order_keys.get_mut(key) else { return };
         messages.remove(&id);
@@ -222,7 +234,7 @@
         }
     }
 
-    /// The messages that are open.
+    /// The open messages.
     pub fn open_messages(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.open.keys().copied()
     }
@@ -233,9 +245,9 @@
         self.open.contains_key(&id)
     }
 
-    /// The open messages that should have ended.
+    /// The open messages that the platform has already counted as lost.
     pub fn overdue(&self, now: Micros) -> impl Iterator<Item = MessageId> + '_ {
-        let is_overdue = move |record: &Record| now > record.message.deadline + END_GRACE;
+        let is_overdue = move |record: &OpenMessage| now > record.message.deadline + END_GRACE;
         self.open.iter().filter(move |(_, record)| is_overdue(record)).map(|(id, _)| *id)
     }
 }
