--- a/crates/delivery-control/src/action.rs
+++ b/crates/delivery-control/src/action.rs
@@ -3,18 +3,18 @@
 use crate::backlog::BacklogReport;
 use crate::ids::{EndpointId, MessageId, Micros};
 
-/// Something to do. Actions are carried out in the order given.
+/// An instruction to the host, which carries out actions in the order given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message to an endpoint. Attempts of a message are numbered from 0.
+    /// Make an attempt: send a message to an endpoint. The attempts of a message are numbered from 0.
     Send {
         /// The message.
         id: MessageId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Time-out of this attempt.
+        /// Timeout of this attempt.
         timeout: Micros,
-        /// The attempt must have begun by then: on a connection that is established later it is not sent.
+        /// Latest time at which sending may begin; nothing is sent on a connection established later.
         begin_by: Micros,
     },
     /// Cancel an attempt.
@@ -24,23 +24,23 @@
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: the message had no effect, or repeating it is harmless.
+    /// Final answer: the message is rejected. It had no effect, or repeating it is harmless.
     Reject {
         /// The message.
         id: MessageId,
-        /// When the client may submit it again; 0 for no advice.
+        /// Time after which the client may submit the message again; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: the message was given up, and may or may not have taken effect.
+    /// Final answer: the message failed. It was given up, and may or may not have taken effect.
     Fail {
         /// The message.
         id: MessageId,
     },
-    /// Report [`crate::Event::TimerFired`] at a time.
+    /// Set a timer that reports [`crate::Event::TimerFired`].
     SetTimer {
-        /// When it is due.
+        /// When the timer fires.
         at: Micros,
-        /// Returned with the event.
+        /// Returned in the event.
         token: u64,
     },
     /// Probe an endpoint.
@@ -55,18 +55,18 @@
     },
     /// Send a note to one sender, or to all.
     SendNote {
-        /// Number of the sender; `None` for all.
+        /// Ordinal of the sender; `None` for all senders.
         to: Option<u32>,
-        /// The note.
+        /// Content of the note.
         bytes: Vec<u8>,
     },
     /// Subscribe to changes of the endpoint list, or unsubscribe.
     Subscribe {
-        /// Whether to subscribe.
+        /// `true` to subscribe, `false` to unsubscribe.
         on: bool,
     },
     /// Fetch the complete endpoint list once.
     FetchList,
-    /// Log what holds back messages past their latency objective.
+    /// Log why messages are past their latency objective.
     ReportBacklog(BacklogReport),
 }
--- a/crates/delivery-control/src/backlog.rs
+++ b/crates/delivery-control/src/backlog.rs
@@ -1,31 +1,33 @@
-//! What a controller reports about a backlog, for the host's log.
+//! Backlog reports of a controller, for the host's log.
 
 use std::fmt;
 
 use crate::ids::{DestinationId, EndpointId, Micros};
 
-/// Why messages for a destination are late, as far as one of its endpoints explains it.
+/// Why messages for a destination are late: counts of its backlog and the state of one of its endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BacklogReport {
     /// The destination with a message past its latency objective.
     pub destination: DestinationId,
-    /// Messages that wait for it.
+    /// Number of messages that wait for the destination.
     pub waiting: usize,
-    /// Of these, the ones that may not be attempted yet: in backoff, or recovered and spread out.
+    /// Number of waiting messages that may not be attempted yet: they are in backoff, or were recovered after
+    /// a restart and are spread over time.
     pub in_backoff: usize,
-    /// Of these, the ones that are not at the head of the queue of their order key.
+    /// Number of waiting messages that are not at the head of the queue of their order key.
     pub behind_others: usize,
-    /// One of its available endpoints.
+    /// One of the destination's available endpoints.
     pub endpoint: EndpointId,
-    /// Calls to the endpoint in flight.
+    /// Number of calls to the endpoint in flight.
     pub in_flight: usize,
-    /// This sender's rate limit there in calls per second; unlimited if absent.
+    /// Rate in calls per second to which this sender limits itself on the endpoint's route; `None` if it is
+    /// unlimited.
     pub rate: Option<f64>,
-    /// Calls that this sender made there in the latest second.
+    /// Number of calls that this sender made on the route within the last second.
     pub sent_last_second: f64,
-    /// The listed rate limit in calls per second, of all senders.
+    /// Listed rate limit of the route in calls per second of all senders together.
     pub listed_rate_limit: Option<f64>,
-    /// What is left of the Retry-After there.
+    /// Time until the Retry-After of the route ends; 0 if there is none.
     pub retry_after: Micros,
     /// Health of the endpoint.
     pub health: EndpointHealth,
@@ -34,11 +36,11 @@
 /// Health of an endpoint, as a sender sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointHealth {
-    /// Gets calls as the rate limit allows.
+    /// It gets calls as the rate limit allows.
     Healthy,
-    /// Gets probes only.
+    /// It gets probes only.
     Ejected,
-    /// Came back from an outage and is warming up.
+    /// It came back from an outage and is warming up.
     SlowStart,
 }
 
--- a/crates/delivery-control/src/controller.rs
+++ b/crates/delivery-control/src/controller.rs
@@ -1,4 +1,5 @@
-//! The controller as its host sees it. It owns the state and decides nothing itself: see the turn's module.
+//! The controller: the interface to the host and the owner of the state. It makes no decisions itself; it
+//! passes events to the policies and lets [`Turn`] run them.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,28 +8,30 @@
 use crate::turn::Turn;
 use crate::{endpoints, ordering, Action, Event, MessageId, Micros, Settings, SettingsError};
 
-/// Decides for one sender. Serialized, it is the state that one process hands over to the next.
+/// Decides for one sender which messages go where and when. Its serialized form is the state that one process
+/// hands over to the next.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub struct Controller {
     #[serde(skip)]
     settings: Settings,
     #[serde(skip)]
     random: fastrand::Rng,
+    /// Time of the latest turn.
     now: Micros,
     state: State,
     quotas: TenantQuotas,
     rare_call_rate: RareCallRate,
     subscription: Subscription,
     backlog_reporter: BacklogReporter,
-    /// When the host's timer is due.
+    /// When the timer that was set last fires.
     timer_at: Micros,
 }
 
 impl Controller {
-    /// Makes a controller; all its random numbers come from `seed`.
+    /// Creates a controller; all its random numbers come from `seed`.
     ///
     /// # Errors
-    /// Names the setting that is not well formed.
+    /// Returns an error that names the first setting that is not valid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -41,26 +44,30 @@
         })
     }
 
-    /// Continues from the state of another process, whose settings listed the same classes, kinds and so on.
+    /// Continues from the state that another process handed over. The settings must list the same classes,
+    /// kinds, zones and tenants as the other process's, in the same order: the state and events refer to them
+    /// by index.
     ///
     /// # Errors
-    /// Names the setting that is not well formed.
+    /// Returns an error that names the first setting that is not valid.
     pub fn restore(self, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self { settings, random: fastrand::Rng::with_seed(seed), ..self })
     }
 
-    /// Whether this message is without a final answer.
+    /// Whether the controller holds this message, which then has no final answer yet.
     pub fn holds_message(&self, id: MessageId) -> bool {
         self.state.messages.contains(id)
     }
 
-    /// How many of the listed endpoints get no calls: drained by an operator, draining, or ejected.
+    /// Number of listed endpoints that get no calls now: draining, drained by an operator, or ejected with no
+    /// probe due.
     pub fn avoided_endpoint_count(&self) -> usize {
         self.state.view(self.context()).avoided_endpoint_count()
     }
 
-    /// Takes in what happened at `now` and adds what to do to `actions`. One turn is one batch.
+    /// Runs one turn at the time `now`: processes a batch of events and appends the resulting actions to
+    /// `actions`.
     pub fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         let mut turn = Turn {
@@ -89,7 +96,7 @@
         Context { now: self.now, settings: &self.settings }
     }
 
-    /// Sets the host's timer, unless it fires in time.
+    /// Sets the host's timer for `due`, unless a timer that is already set fires by then.
     fn set_timer(&mut self, due: Micros, actions: &mut Vec<Action>) {
         let has_fired = self.timer_at <= self.now;
         if has_fired || due < self.timer_at {
@@ -99,7 +106,7 @@
     }
 }
 
-/// Hands an event to the policy that it concerns.
+/// Passes an event to the policy that handles it.
 fn apply(turn: &mut Turn, event: &Event) {
     match event {
         Event::EndpointsUpdated { update, entries, .. } => turn.update_endpoints(*update, entries),
--- a/crates/delivery-control/src/diagnostics.rs
+++ b/crates/delivery-control/src/diagnostics.rs
@@ -1,4 +1,4 @@
-//! Reports on what holds back messages past their latency objective.
+//! Reports on why messages are past their latency objective.
 
 use std::cmp::Reverse;
 
@@ -8,19 +8,21 @@
 use crate::model::{Destination, Health, View, SECOND};
 use crate::{DestinationId, EndpointId, Micros};
 
-/// Reports come no more often than this, so that a long outage doesn't flood the log.
+/// Minimum time between reports, so that a long outage does not flood the log.
 const REPORT_INTERVAL: Micros = 5 * SECOND;
-/// Destinations in a report: those with the longest backlogs tell enough.
+/// Maximum number of destinations that are reported at a time: those with the longest backlogs say enough.
 const MAX_REPORTED_DESTINATIONS: usize = 4;
 
-/// Reports the longest backlogs in which a message is past its latency objective.
+/// Reports the longest backlogs whose oldest message is past its latency objective.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct BacklogReporter {
+    /// When backlogs were last reported.
     reported_at: Micros,
 }
 
 impl BacklogReporter {
-    /// One report for each endpoint of the destinations with the longest backlogs.
+    /// Returns one report for each available endpoint of the late destinations with the longest backlogs, or
+    /// none within [`REPORT_INTERVAL`] of the last reports.
     pub fn report(&mut self, view: &View) -> Vec<BacklogReport> {
         let now = view.context.now;
         if now - self.reported_at < REPORT_INTERVAL {
@@ -48,12 +50,13 @@
     }
 }
 
+/// Whether the oldest message that waits for a destination is past its latency objective.
 fn is_late(view: &View, destination: &Destination) -> bool {
     let oldest = destination.waiting.first();
     oldest.is_some_and(|id| view.state.messages[*id].objective_at < view.context.now)
 }
 
-/// The messages that wait for a destination.
+/// Counts of the messages that wait for a destination; the fields are those of [`BacklogReport`].
 struct Backlog {
     destination: DestinationId,
     waiting: usize,
@@ -73,7 +76,7 @@
         Self { destination: id, waiting: destination.waiting.len(), in_backoff, behind_others }
     }
 
-    /// The backlog beside the state of one of the destination's endpoints.
+    /// Combines the backlog with the state of one of the destination's endpoints.
     fn report(&self, view: &View, id: EndpointId) -> BacklogReport {
         let now = view.context.now;
         let endpoint = &view.state.endpoints[id];
--- a/crates/delivery-control/src/event.rs
+++ b/crates/delivery-control/src/event.rs
@@ -11,9 +11,9 @@
     Delivered,
     /// The endpoint answered with an error; the message may have taken effect.
     Error,
-    /// The endpoint rejected the message unprocessed, for example because of a rate limit.
+    /// The endpoint rejected the message without processing it, for example because of a rate limit.
     Rejected,
-    /// No answer arrived in time; the message may have taken effect.
+    /// No answer arrived before the timeout; the message may have taken effect.
     Timeout,
     /// No connection was established; the message was never sent.
     ConnectFailed,
@@ -26,13 +26,13 @@
 }
 
 impl AttemptOutcome {
-    /// The endpoint answered.
+    /// Whether the endpoint answered.
     #[must_use]
     pub fn is_answer(self) -> bool {
         matches!(self, Self::Delivered | Self::Error | Self::Rejected)
     }
 
-    /// The message certainly had no effect at the endpoint.
+    /// Whether it is certain that the message had no effect at the endpoint.
     #[must_use]
     pub fn had_no_effect(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
@@ -42,36 +42,36 @@
 /// State of an endpoint in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListingState {
-    /// Listed; says nothing about its health.
+    /// Listed as in service, which says nothing about the endpoint's health.
     Live,
-    /// Draining: no new attempts may go there.
+    /// Listed as draining: no new attempts may go there.
     Draining,
-    /// Not listed any more.
+    /// No longer listed.
     #[default]
     Removed,
 }
 
-/// One line of an endpoint list.
+/// One entry of an endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its state.
+    /// State of the endpoint in the list.
     pub listing: ListingState,
-    /// Listed rate limit in calls per second, of all senders together. Meaningful only where
+    /// Listed rate limit in calls per second of all senders together; 0 if none is listed. Used only if
     /// [`crate::Settings::rates_are_listed`] is set.
     pub rate: f64,
-    /// Index of its kind; one past the end if the settings do not contain the kind.
+    /// Index of the endpoint's kind in the settings; one past the end if they do not list the kind.
     pub kind: usize,
-    /// Index of its zone; one past the end if the settings do not contain the zone.
+    /// Index of the endpoint's zone in the settings; one past the end if they do not list the zone.
     pub zone: usize,
-    /// When it was added, if that was recently.
+    /// When the endpoint came online, if that is known.
     pub online_since: Option<Micros>,
 }
 
-/// How the entries of an endpoint-list update are to be read.
+/// How the entries of an endpoint-list update are interpreted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
     /// Changed entries only.
@@ -80,20 +80,20 @@
     Snapshot,
     /// The complete list as last stored on disk, of unknown age.
     Cached,
-    /// A request failed or the subscription broke; there are no entries.
+    /// A fetch failed or the subscription broke; there are no entries.
     Failed,
 }
 
-/// A load report of an endpoint; values that were not reported are absent.
+/// A load report of an endpoint; values that it did not report are `None`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Fraction of the rate limit that is left.
+    /// Fraction of the rate limit that is left, from 0 to 1.
     pub limit_remaining: Option<f64>,
-    /// The rate limit in calls per second.
+    /// The rate limit in calls per second of all senders together.
     pub limit: Option<f64>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_flight: Option<f64>,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queue: Option<f64>,
     /// Fraction of the processor in use.
     pub utilization: Option<f64>,
@@ -105,46 +105,46 @@
     pub error_rate: Option<f64>,
 }
 
-/// What an operator does with an endpoint.
+/// A maintenance command of an operator for an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MaintenanceCommand {
-    /// The endpoint drains from now on, whatever the endpoint list says.
+    /// Drain the endpoint from now on, whatever the endpoint list says.
     Drain,
-    /// The endpoint is back in service, and cold.
+    /// Put the endpoint back into service; it is assumed to be cold.
     Restore,
 }
 
 /// A message that a client submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MessageSubmission {
-    /// Its id.
+    /// Identifier of the message.
     pub id: MessageId,
-    /// Index of its class.
+    /// Index of the message's class in the settings.
     pub class: usize,
-    /// Index of its tenant, if it belongs to one.
+    /// Index of the message's tenant in the settings, if it belongs to one.
     pub tenant: Option<usize>,
-    /// Where it is to be delivered.
+    /// The destination to deliver the message to.
     pub destination: DestinationId,
-    /// Time left until its deadline.
+    /// Time left until the message's deadline.
     pub time_left: Micros,
-    /// Expected work at the destination.
+    /// Expected processing time at the destination, if known; it stretches the latency objective.
     pub work: Option<Micros>,
-    /// The key within which ordered classes keep their messages in order.
+    /// Messages of an ordered class with the same order key are delivered in order.
     pub order_key: Option<String>,
-    /// A sender that died had accepted it before.
+    /// Whether the message had been accepted before by a sender that died.
     pub returned: bool,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the submission as a retry of its own.
     pub repeat: bool,
-    /// It is a write.
+    /// Whether the message changes data at the destination.
     pub write: bool,
 }
 
 /// The first attempt of a message that may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AmbiguousAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Index of the zone of its endpoint.
+    /// Index of the zone of the endpoint that was called.
     pub zone: usize,
 }
 
@@ -159,13 +159,14 @@
     pub endpoint: EndpointId,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time from the start of the attempt to its end.
     pub elapsed: Micros,
-    /// Its request was begun to be sent; one that was not does not count towards the limit of attempts.
+    /// Whether the host began to send the request. If not, the attempt does not count towards the limit of
+    /// attempts.
     pub was_started: bool,
-    /// The message has ended with it.
+    /// Whether the message has ended with this attempt.
     pub is_final: bool,
-    /// The Retry-After of a rejection; 0 if there was none.
+    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
     /// The load report that came with the answer.
     pub load_report: Option<LoadReport>,
@@ -176,7 +177,7 @@
 pub enum Event {
     /// The endpoint list changed, or could not be fetched.
     EndpointsUpdated {
-        /// How to read the entries.
+        /// How the entries are interpreted.
         update: UpdateKind,
         /// Version of the list.
         version: u64,
@@ -185,36 +186,40 @@
     },
     /// An operator drained or restored an endpoint.
     Maintenance {
-        /// The endpoint, listed or not.
+        /// The endpoint, which need not be listed.
         endpoint: EndpointId,
-        /// What the operator did.
+        /// The operator's command.
         command: MaintenanceCommand,
     },
     /// A client submitted a message.
     MessageSubmitted(MessageSubmission),
-    /// What a predecessor process did for a message; reported in the turn that submits the message again.
+    /// A message that a predecessor process had accepted was recovered. Reported after the message's
+    /// [`Event::MessageSubmitted`], in the same turn.
     MessageRecovered {
         /// The message.
         id: MessageId,
-        /// Attempts made so far; the next one gets this number.
+        /// Number of attempts that the predecessor made; the next attempt gets this number.
         attempts: u32,
-        /// The first attempt that may have taken effect. One that was in flight when the predecessor died may
-        /// have.
+        /// The first attempt that may have taken effect. An attempt that was in flight when the predecessor
+        /// died counts as such.
         first_ambiguous: Option<AmbiguousAttempt>,
     },
-    /// A predecessor process gave up an ordered message, and the platform has not acknowledged the notice.
+    /// A predecessor process gave up an ordered message, and the platform has not acknowledged the notice of
+    /// it. Reported in the order in which the messages were accepted.
     NoticePending {
-        /// The message. Reported in the order in which messages were accepted.
+        /// The message.
         id: MessageId,
-        /// Its order key.
+        /// Order key of the message.
         order_key: String,
     },
-    /// The platform acknowledged that a message was rejected or failed: its successors in order may go.
+    /// The platform acknowledged the notice that a message was rejected or failed. The next message of its
+    /// order key may be sent.
     NoticeAcknowledged {
         /// The message.
         id: MessageId,
     },
-    /// A streamed response began; the attempt belongs to the client from now on.
+    /// A streamed response began. From now on the message is not sent again, its attempt is not cancelled,
+    /// and the message does not end at its deadline.
     ResponseStarted {
         /// The message.
         id: MessageId,
@@ -223,14 +228,14 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client withdrew the message.
+    /// The client withdrew a message.
     MessageWithdrawn {
         /// The message.
         id: MessageId,
     },
     /// A timer fired.
     TimerFired {
-        /// The token it was set with.
+        /// The token that the timer was set with.
         token: u64,
     },
     /// A probe ended.
@@ -239,16 +244,16 @@
         endpoint: EndpointId,
         /// How the probe ended.
         outcome: AttemptOutcome,
-        /// Time since it was sent.
+        /// Time from the start of the probe to its end.
         elapsed: Micros,
         /// The load report that came with the answer.
         load_report: Option<LoadReport>,
     },
     /// Another sender sent a note.
     NoteReceived {
-        /// Number of that sender.
+        /// Ordinal of the sender that sent the note.
         from: u32,
-        /// The note.
+        /// Content of the note.
         bytes: Vec<u8>,
     },
 }
--- a/crates/delivery-control/src/ids.rs
+++ b/crates/delivery-control/src/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers and the time unit that all parts share.
+//! Identifiers and the time type that all modules share.
 
-/// A point in time or a duration in microseconds, on the host's clock.
+/// A point in time on the host's clock, or a duration, in microseconds.
 pub type Micros = i64;
-/// Identifies a message; never reused during the life of a controller.
+/// Identifies a message; not reused during the life of a controller.
 pub type MessageId = u64;
-/// Identifies an endpoint; the same at every sender.
+/// Identifies an endpoint to a controller; assigned by the host.
 pub type EndpointId = u64;
 /// Identifies a destination.
 pub type DestinationId = u64;
--- a/crates/delivery-control/src/lib.rs
+++ b/crates/delivery-control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decision logic of message delivery: which message goes to which endpoint, when, and how it ends.
 //!
-//! [`Controller`] is pure: it has no clock, no I/O and no threads. Its host reports [`Event`]s and carries
-//! out the [`Action`]s that it returns. See the README for an embedding example.
+//! [`Controller`] has no clock, performs no I/O and starts no threads. Its host reports [`Event`]s to it and
+//! carries out the [`Action`]s that it returns. The README has an embedding example.
 #![deny(missing_docs)]
 #![doc = include_str!("../../../README.md")]
 
--- a/crates/delivery-control/src/model/choice.rs
+++ b/crates/delivery-control/src/model/choice.rs
@@ -1,4 +1,5 @@
-//! What policies hand to each other: whether, which and when.
+//! Results that one policy computes for another: eligibility, candidates, and the chosen endpoint, message or
+//! attempt.
 
 use crate::ids::{EndpointId, MessageId, Micros};
 use crate::model::AttemptKey;
@@ -6,15 +7,16 @@
 /// Whether a message may be sent to an endpoint.
 pub(crate) enum Eligibility {
     Now,
+    /// Not before this time.
     NotBefore(Micros),
-    /// Not until something happens to the destination.
+    /// Not until an event changes the state of the destination.
     No,
-    /// Once a permit of the concurrency limit is free.
+    /// Not until a permit of the concurrency limit is free.
     NoPermit,
 }
 
 impl Eligibility {
-    /// Now, if the condition holds.
+    /// `Now` if the condition holds, otherwise `No`.
     pub fn allow_if(condition: bool) -> Self {
         if condition {
             Eligibility::Now
@@ -23,7 +25,7 @@
         }
     }
 
-    /// Not before a time.
+    /// `NotBefore` if the time `at` is yet to come, otherwise `Now`.
     pub fn not_before(at: Micros, now: Micros) -> Self {
         if at > now {
             Eligibility::NotBefore(at)
@@ -32,7 +34,7 @@
         }
     }
 
-    /// The next check's result, if this one allows it.
+    /// Runs the next check if this one allows the message to be sent now; otherwise keeps this result.
     pub fn and_then(self, check: impl FnOnce() -> Self) -> Self {
         match self {
             Eligibility::Now => check(),
@@ -41,34 +43,39 @@
     }
 }
 
-/// A message that could go, with what orders it among others.
+/// A message that waits to be sent, with the values that determine its rank among others.
 pub(crate) struct Candidate {
     pub id: MessageId,
-    /// Value that is lost by waiting, for each µs of permit use.
+    /// Value that is lost by waiting, divided by the µs for which the message would use a permit.
     pub urgency: f64,
+    /// When the message's latency objective ends; breaks ties.
     pub objective_at: Micros,
 }
 
-/// The cheapest endpoint for a message, and when to look again if there is none.
+/// The choice of an endpoint for a message.
 #[derive(Default)]
 pub(crate) struct Choice {
+    /// The cheapest endpoint to which the message may be sent now.
     pub endpoint: Option<EndpointId>,
+    /// Earliest time at which one of the endpoints that are not eligible yet may become eligible.
     pub retry_at: Option<Micros>,
+    /// Whether an endpoint would be eligible if a permit were free.
     pub lacks_permit: bool,
 }
 
-/// A message to reject early.
+/// A message to shed: to reject before its deadline.
 pub(crate) struct Shed {
     pub id: MessageId,
-    /// When its destination is expected to have caught up.
+    /// Time after which its destination is expected to have worked off its backlog.
     pub retry_after: Micros,
-    /// Value left at that time.
+    /// Value that a delivery after that time would have.
     pub value: f64,
 }
 
-/// An attempt that looks stuck, and from when on it may be cancelled.
+/// An attempt that looks stuck.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StuckAttempt {
+    /// Time after which the attempt may be cancelled.
     pub overdue_at: Micros,
     pub key: AttemptKey,
 }
--- a/crates/delivery-control/src/model/endpoint.rs
+++ b/crates/delivery-control/src/model/endpoint.rs
@@ -13,44 +13,47 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RouteKey {
     pub destination: DestinationId,
-    /// Set where the endpoint is a route of its own.
+    /// The endpoint, if it is a route of its own.
     pub endpoint: Option<EndpointId>,
 }
 
-/// An endpoint that gets probes only.
+/// State of an ejected endpoint, which gets probes only.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Ejection {
-    /// When the outage began, as far as is known.
+    /// Estimated start of the outage.
     pub since: Micros,
-    /// A call failed or was rejected, as opposed to calls without an answer yet.
+    /// Whether the outage is certain: a call failed or was rejected, or an operator drained the endpoint.
+    /// `false` if calls have merely had no answer yet.
     pub confirmed: bool,
-    /// The latest interval between probes, without jitter.
+    /// Latest interval between probes, before jitter; 0 if there has been no interval yet.
     pub probe_interval: Micros,
-    /// No probe before this time.
+    /// Earliest time of the next probe.
     pub next_probe_at: Micros,
-    /// The probe in flight.
+    /// The probe in flight, if any.
     pub probe: Option<CallId>,
 }
 
 impl Ejection {
-    /// The ejection that begins with an outage found now, whose first sign was a call, if any.
+    /// An ejection for an outage that is not confirmed. `call` is the failed or rejected call that revealed
+    /// the outage, and takes the place of a probe; it is `None` if calls had no answer.
     pub fn suspected(since: Micros, call: Option<CallId>) -> Self {
         Self { since, confirmed: false, probe_interval: 0, next_probe_at: since, probe: call }
     }
 
-    /// The ejection for an outage that is certain, with a probe due at a time.
+    /// An ejection for an outage that is certain, with the first probe due at `next_probe_at`.
     pub fn confirmed(since: Micros, next_probe_at: Micros) -> Self {
         Self { since, confirmed: true, probe_interval: 0, next_probe_at, probe: None }
     }
 }
 
-/// An endpoint that came back from an outage and may be cold.
+/// State of an endpoint that came back from an outage and may be cold.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
+    /// When the endpoint came back.
     pub since: Micros,
-    /// Senders that were estimated to have messages for it when it came back.
+    /// Estimated number of senders that had messages for the endpoint when it came back.
     pub competing_senders: f64,
-    /// No call of this sender before this time.
+    /// Earliest time of this sender's next call.
     pub next_call_at: Micros,
 }
 
@@ -64,7 +67,7 @@
 }
 
 impl Health {
-    /// The ejection, if it is ejected.
+    /// The ejection, if the endpoint is ejected.
     pub fn ejection(&self) -> Option<&Ejection> {
         match self {
             Health::Ejected(ejection) => Some(ejection),
@@ -76,7 +79,7 @@
         self.ejection().is_some()
     }
 
-    /// Whether it is ejected and a probe is in flight.
+    /// Whether the endpoint is ejected and a probe is in flight.
     pub fn has_probe(&self) -> bool {
         self.ejection().is_some_and(|ejection| ejection.probe.is_some())
     }
@@ -86,56 +89,60 @@
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
     pub route: RouteKey,
-    /// Index of its zone.
+    /// Index of its zone in the settings.
     pub zone: usize,
-    /// Messages that one call may carry.
+    /// Maximum number of messages in one call.
     pub batch_size: usize,
     pub listing: ListingState,
-    /// Listed as live, and not drained by an operator.
+    /// Whether it is listed as live and not drained by an operator.
     pub available: bool,
-    /// Moving average of the answer time, in µs.
+    /// Moving average, in µs, of the time from sending a call to its delivery.
     pub latency: f64,
-    /// Failures since the last delivery.
+    /// Number of failures since the last delivery.
     pub consecutive_failures: u32,
     /// When the latest answer arrived.
     pub answered_at: Option<Micros>,
-    /// When the latest delivery ended.
+    /// When the latest delivery was confirmed.
     pub delivered_at: Option<Micros>,
     pub health: Health,
-    /// Since when each idle connection has been idle.
+    /// For each idle connection, since when it has been idle.
     pub idle_connections: Vec<Micros>,
 }
 
 impl Endpoint {
-    /// Notes that an answer arrived, and left its connection idle.
+    /// Records that an answer arrived and its connection is idle now.
     pub fn record_answer(&mut self, now: Micros) {
         self.answered_at = Some(now);
         self.idle_connections.push(now);
     }
 
-    /// Notes a delivery, and how much it changes the average latency.
+    /// Records a delivery, which changes the average latency by `latency_change` µs.
     pub fn record_delivery(&mut self, now: Micros, latency_change: f64) {
         self.latency += latency_change;
         self.consecutive_failures = 0;
         self.delivered_at = Some(now);
     }
 
-    /// Whether a connection is idle and has not been closed.
+    /// Whether a connection has been idle for less than `idle_limit`, and so has not been closed.
     pub fn has_idle_connection(&self, now: Micros, idle_limit: Micros) -> bool {
         self.idle_connections.iter().any(|since| now - since < idle_limit)
     }
 
-    /// Takes an idle connection, if there is one, and forgets those that have been closed.
+    /// Takes an idle connection, if there is one, and removes those that have been idle for `idle_limit` and
+    /// so have been closed.
     pub fn take_connection(&mut self, now: Micros, idle_limit: Micros) {
         self.idle_connections.retain(|since| now - since < idle_limit);
         self.idle_connections.pop();
     }
 }
 
-/// A destination: its available endpoints, the messages that wait for it, and how many were submitted.
+/// A destination with its available endpoints and waiting messages.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct Destination {
+    /// Available endpoints.
     pub endpoints: Vec<EndpointId>,
+    /// Messages that wait for an attempt, from the lowest identifier to the highest.
     pub waiting: BTreeSet<MessageId>,
+    /// Number of messages submitted for this destination, as counted by [`super::Endpoints::count_arrival`].
     pub arrivals: f64,
 }
--- a/crates/delivery-control/src/model/endpoints.rs
+++ b/crates/delivery-control/src/model/endpoints.rs
@@ -1,4 +1,5 @@
-//! Destinations, endpoints and routes, and how many messages were submitted for each destination.
+//! Destinations, endpoints and the rate limits of routes, and the count of messages that were submitted for
+//! each destination.
 
 use std::collections::BTreeMap;
 use std::ops::Index;
@@ -8,18 +9,20 @@
 use crate::model::{Destination, Endpoint, RateLimit, RouteKey, SECOND};
 use crate::{DestinationId, EndpointId, ListingState, Micros};
 
-/// All destinations, endpoints and routes.
+/// All destinations, endpoints and rate limits of routes.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct Endpoints {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
     rate_limits: BTreeMap<RouteKey, RateLimit>,
-    /// Drained by an operator, since when.
+    /// Endpoints that an operator drained, and since when.
     manually_drained: BTreeMap<EndpointId, Micros>,
-    /// Not available, since when; kept until nothing of theirs must be remembered.
+    /// Endpoints that are not available, and since when. They are kept until nothing about them has to be
+    /// remembered.
     departed: BTreeMap<EndpointId, Micros>,
-    /// Messages submitted since `counting_since`, of all destinations.
+    /// Number of messages submitted since `counting_since` for all destinations.
     arrivals: f64,
+    /// When the count of submitted messages started.
     counting_since: Option<Micros>,
 }
 
@@ -61,7 +64,7 @@
         self.destination(id).map_or(&[], |destination| &destination.endpoints)
     }
 
-    /// The available endpoints of a route.
+    /// The available endpoints that belong to a route.
     pub fn on_route(&self, route: RouteKey) -> Vec<EndpointId> {
         let ids = self.available(route.destination).iter().copied();
         ids.filter(|id| self[*id].route == route).collect()
@@ -81,7 +84,7 @@
         ids.filter_map(|id| self.rate_limit(self[*id].route)?.listed_limit()).reduce(f64::min)
     }
 
-    /// Starts to count submitted messages, unless it has begun.
+    /// Starts the count of submitted messages, unless it has started.
     pub fn start_counting(&mut self, now: Micros) {
         self.counting_since = self.counting_since.or(Some(now));
     }
@@ -91,24 +94,24 @@
         self.destination_mut(destination).arrivals += 1.0;
     }
 
-    /// Takes back the count of a message.
+    /// Subtracts a message that was counted.
     pub fn discount_arrival(&mut self, destination: DestinationId) {
         self.arrivals -= 1.0;
         self.destination_mut(destination).arrivals -= 1.0;
     }
 
-    /// Messages submitted for an average destination.
+    /// Mean number of messages submitted for a destination.
     pub fn mean_arrivals(&self) -> f64 {
         self.arrivals / self.destinations.len().max(1) as f64
     }
 
-    /// Seconds over which messages have been counted, but no less than `least`.
+    /// Time in seconds over which messages have been counted, but at least `least`.
     pub fn counted_seconds(&self, now: Micros, least: Micros) -> f64 {
         (now - self.counting_since.unwrap_or(now)).max(least) as f64 / SECOND as f64
     }
 
-    /// Takes over the listed properties of an endpoint, new or known, which is not available yet. Returns its
-    /// previous route.
+    /// Adds an endpoint or updates its listed properties, and removes it from the available ones of its
+    /// previous destination; [`Self::set_available`] must follow. Returns its previous route.
     pub fn relist(&mut self, id: EndpointId, listed: Endpoint) -> RouteKey {
         let Endpoint { route, zone, batch_size, listing, .. } = listed;
         let endpoint = self.endpoints.entry(id).or_insert(listed);
@@ -121,7 +124,7 @@
         previous
     }
 
-    /// Takes all endpoints off the list.
+    /// Marks all endpoints as removed from the list, and thus not available.
     pub fn clear_listing(&mut self, now: Micros) {
         for (id, endpoint) in &mut self.endpoints {
             endpoint.listing = ListingState::Removed;
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Puts an endpoint among the available ones of its destination, or takes it away from them.
+    /// Adds an endpoint to the available ones of its destination, or removes it from them.
     pub fn set_available(&mut self, id: EndpointId, available: bool, now: Micros) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.available = available;
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Notes that an operator drained an endpoint, listed or not.
+    /// Records that an operator drained an endpoint, which need not be listed.
     pub fn drain_manually(&mut self, id: EndpointId, now: Micros) {
         self.manually_drained.entry(id).or_insert(now);
     }
@@ -166,7 +169,7 @@
         self.departed.iter().map(|(id, since)| (*id, *since)).collect()
     }
 
-    /// Removes an endpoint, and its route if no other endpoint is available there.
+    /// Removes an endpoint, and the rate limit of its route if the route has no available endpoint.
     pub fn remove(&mut self, id: EndpointId) {
         self.departed.remove(&id);
         let Some(endpoint) = self.endpoints.remove(&id) else { return };
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Drops destinations without available endpoints and waiting messages.
+    /// Removes destinations that have neither available endpoints nor waiting messages.
     pub fn drop_unused_destinations(&mut self) {
         self.destinations
             .retain(|_, destination| !destination.endpoints.is_empty() || !destination.waiting.is_empty());
--- a/crates/delivery-control/src/model/in_flight.rs
+++ b/crates/delivery-control/src/model/in_flight.rs
@@ -8,40 +8,42 @@
 use crate::ids::{EndpointId, MessageId, Micros};
 use crate::model::Endpoint;
 
-/// Identifies a call.
+/// Identifies a call; never reused during the life of a controller.
 pub(crate) type CallId = u64;
 
-/// Identifies an attempt.
+/// Identifies an attempt: its message, and its number among the attempts of that message.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct AttemptKey {
     pub message: MessageId,
     pub number: u32,
 }
 
-/// An attempt without an outcome; it may outlive its message.
+/// An attempt without an outcome yet. Its message may already have ended.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Attempt {
     pub endpoint: EndpointId,
     pub call: CallId,
     pub sent_at: Micros,
-    /// The host was asked to cancel it.
+    /// Whether the host was asked to cancel it.
     pub cancelled: bool,
+    /// Order key of its message.
     pub order_key: Option<String>,
 }
 
-/// How an attempt ended, with what is known of its call.
+/// How an attempt ended, and the call that carried it.
 pub(crate) struct AttemptResult {
     pub call: CallId,
     pub endpoint: EndpointId,
-    /// Index of the endpoint's zone.
+    /// Index of the endpoint's zone; `usize::MAX` if the endpoint is no longer known.
     pub zone: usize,
     pub sent_at: Micros,
     pub outcome: AttemptOutcome,
+    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
 }
 
 impl AttemptResult {
-    /// Joins an attempt with its end; `endpoint` is that of the attempt, unless it is forgotten.
+    /// Combines an attempt with its end; `endpoint` is the attempt's endpoint, if it is still known.
     pub fn new(attempt: &Attempt, end: &AttemptEnd, endpoint: Option<&Endpoint>) -> Self {
         Self {
             call: attempt.call,
@@ -59,28 +61,31 @@
 pub(crate) struct Call {
     pub endpoint: EndpointId,
     pub sent_at: Micros,
-    /// Attempts that it carries and that have no outcome.
+    /// Number of attempts in the call that have no outcome yet.
     pending_outcomes: usize,
 }
 
-/// A call of this turn to which more messages may be added.
+/// A call of this turn, to which more messages may be added.
 #[derive(Clone, Serialize, Deserialize)]
 struct Batch {
     call: CallId,
+    /// Number of messages that may be added.
     free: usize,
 }
 
-/// Everything in flight.
+/// All attempts and calls in flight.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct InFlight {
     attempts: BTreeMap<AttemptKey, Attempt>,
     calls: BTreeMap<CallId, Call>,
+    /// The latest call of this turn to each endpoint.
     batches: BTreeMap<EndpointId, Batch>,
+    /// Identifier of the latest call.
     last_call: CallId,
 }
 
 impl InFlight {
-    /// Closes the batches of the turn before.
+    /// Closes the batches of the previous turn.
     pub fn begin_turn(&mut self) {
         self.batches.clear();
     }
@@ -121,7 +126,7 @@
         self.batches.get(&endpoint).is_some_and(|batch| batch.free > 0)
     }
 
-    /// Adds a message to a call of this turn, if one has room.
+    /// Adds a message to the batch of this turn to the endpoint, if it has room; returns its call.
     pub fn join_batch(&mut self, endpoint: EndpointId) -> Option<CallId> {
         let batch = self.batches.get_mut(&endpoint).filter(|batch| batch.free > 0)?;
         batch.free -= 1;
@@ -138,7 +143,7 @@
         self.last_call
     }
 
-    /// Lets a call of this turn carry so many further messages.
+    /// Makes a call of this turn a batch that can carry `free` more messages.
     pub fn open_batch(&mut self, endpoint: EndpointId, call: CallId, free: usize) {
         self.batches.insert(endpoint, Batch { call, free });
     }
--- a/crates/delivery-control/src/model/key_queues.rs
+++ b/crates/delivery-control/src/model/key_queues.rs
@@ -1,4 +1,4 @@
-//! The queues of all order keys.
+//! The queues of messages with the same order key.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,16 +6,18 @@
 
 use crate::{MessageId, Micros};
 
-/// A span in which only one message of a key may be sent.
+/// A time during which only one message of an order key may be sent.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Quarantine {
     until: Micros,
+    /// The message that may be sent.
     exempt: MessageId,
 }
 
-/// The messages of one key in order.
+/// The queue of one order key.
 #[derive(Default, Clone, Serialize, Deserialize)]
 struct KeyQueue {
+    /// Messages in the order in which they are to be delivered.
     messages: VecDeque<MessageId>,
     quarantine: Option<Quarantine>,
 }
@@ -24,8 +26,8 @@
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct KeyQueues {
     queues: BTreeMap<String, KeyQueue>,
-    /// Keys of messages that were given up while the platform has not acknowledged the notice: each keeps its
-    /// place in the queue until then.
+    /// Order keys of messages that were given up and whose notice the platform has not acknowledged. Each
+    /// message keeps its place in the queue until then.
     pending_notices: BTreeMap<MessageId, String>,
 }
 
@@ -34,14 +36,15 @@
         self.queues.entry(key.to_owned()).or_default().messages.push_back(id);
     }
 
-    /// Has a message, if it has a key, keep its place until its notice is acknowledged.
+    /// Keeps the place of a message that was given up until its notice is acknowledged. Does nothing without
+    /// an order key.
     pub fn await_notice(&mut self, id: MessageId, key: Option<&String>) {
         if let Some(key) = key {
             self.pending_notices.insert(id, key.clone());
         }
     }
 
-    /// Takes in an acknowledgement; returns the message's key.
+    /// Records that a notice was acknowledged; returns the order key of its message if it was pending.
     pub fn acknowledge_notice(&mut self, id: MessageId) -> Option<String> {
         self.pending_notices.remove(&id)
     }
@@ -54,42 +57,43 @@
         self.queues.get(key?)
     }
 
-    /// Whether a message is the first of its key, or has no queue.
+    /// Whether a message is at the head of its order key's queue. Also true if it has no order key or the key
+    /// has no queue.
     pub fn is_head(&self, key: Option<&String>, id: MessageId) -> bool {
         self.get(key).is_none_or(|queue| queue.messages.front() == Some(&id))
     }
 
-    /// The messages that wait for this one, if it is the first of its key.
+    /// The messages behind this one if it is at the head of its order key's queue; none otherwise.
     pub fn followers(&self, key: Option<&String>, id: MessageId) -> impl Iterator<Item = MessageId> + '_ {
-        let led = self.get(key).filter(|queue| queue.messages.front() == Some(&id));
-        led.into_iter().flat_map(|queue| queue.messages.iter().skip(1).copied())
+        let queue = self.get(key).filter(|queue| queue.messages.front() == Some(&id));
+        queue.into_iter().flat_map(|queue| queue.messages.iter().skip(1).copied())
     }
 
     pub fn contains(&self, key: &str, id: MessageId) -> bool {
         self.queues.get(key).is_some_and(|queue| queue.messages.contains(&id))
     }
 
-    /// When the quarantine of a message's key ends for it; 0 if there is none.
+    /// When the quarantine of a message's order key ends; 0 if there is none or the message is exempt.
     pub fn quarantined_until(&self, key: Option<&String>, id: MessageId) -> Micros {
         let quarantine = self.get(key).and_then(|queue| queue.quarantine);
-        quarantine.filter(|other| other.exempt != id).map_or(0, |quarantine| quarantine.until)
+        quarantine.filter(|quarantine| quarantine.exempt != id).map_or(0, |quarantine| quarantine.until)
     }
 
-    /// Quarantines a key for all messages but one.
+    /// Quarantines an order key for all messages but `exempt`.
     pub fn quarantine(&mut self, key: &str, exempt: MessageId, until: Micros) {
         if let Some(queue) = self.queues.get_mut(key) {
             queue.quarantine = Some(Quarantine { until, exempt });
         }
     }
 
-    /// Takes a message out of its queue; returns the head of the queue.
+    /// Removes a message from its queue; returns the new head of the queue.
     pub fn remove(&mut self, key: &str, id: MessageId) -> Option<MessageId> {
         let queue = self.queues.get_mut(key)?;
         queue.messages.retain(|other| *other != id);
         queue.messages.front().copied()
     }
 
-    /// Drops queues without messages whose quarantine is over.
+    /// Removes queues that have no messages and no quarantine that still holds.
     pub fn drop_idle(&mut self, now: Micros) {
         self.queues.retain(|_, queue| {
             !queue.messages.is_empty() || queue.quarantine.is_some_and(|quarantine| quarantine.until > now)
--- a/crates/delivery-control/src/model/message.rs
+++ b/crates/delivery-control/src/model/message.rs
@@ -11,44 +11,46 @@
 /// A message without a final answer.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct Message {
-    /// Index of its class.
+    /// Index of its class in the settings.
     pub class: usize,
     pub destination: DestinationId,
     /// Set only for messages of ordered classes.
     pub order_key: Option<String>,
-    /// Its value until the latency objective.
+    /// Value of a delivery within the latency objective.
     pub value: f64,
-    /// When the latency objective is missed.
+    /// When the latency objective ends; a later delivery has less value.
     pub objective_at: Micros,
     pub deadline: Micros,
-    /// Attempts made so far; the next one gets this number.
+    /// Number of attempts made so far; the next attempt gets this number.
     pub attempts: u32,
-    /// Attempts made so far without those that the host did not send; the backoff grows with it.
+    /// Number of attempts that have ended, except those that the host did not send. The backoff grows with
+    /// this number.
     pub sent_attempts: u32,
-    /// Attempts that the host gave up before it began to send them; the limit of attempts leaves them out.
+    /// Number of attempts that ended before the host began to send the request; they do not count towards the
+    /// limit of attempts.
     #[serde(default)]
     pub unstarted_attempts: u32,
-    /// An attempt is in flight.
+    /// Whether an attempt is in flight.
     pub in_flight: bool,
-    /// Its response is being streamed to the client.
+    /// Whether its response is being streamed to the client.
     pub streaming: bool,
     /// The first attempt that may have taken effect.
     pub first_ambiguous: Option<AmbiguousAttempt>,
-    /// No attempt before this time.
+    /// Earliest time of the next attempt.
     pub ready_at: Micros,
-    /// The latest attempt was rejected by the endpoint.
+    /// Whether the endpoint rejected the latest attempt that has ended.
     pub rejected: bool,
-    /// A predecessor process accepted it and made no attempt.
+    /// Whether a predecessor process accepted the message and no attempt has been made since.
     pub recovered_unattempted: bool,
 }
 
 impl Message {
-    /// The attempts that count towards the limit.
+    /// Number of attempts that count towards the limit of attempts.
     pub fn counted_attempts(&self) -> u32 {
         self.attempts.saturating_sub(self.unstarted_attempts)
     }
 
-    /// Takes over what a predecessor process did.
+    /// Restores what a predecessor process recorded about the message's attempts.
     pub fn recover(&mut self, attempts: u32, first_ambiguous: Option<AmbiguousAttempt>, ready_at: Micros) {
         self.attempts = attempts;
         self.sent_attempts = attempts;
@@ -58,7 +60,7 @@
     }
 }
 
-/// A time at which a message may have to end.
+/// A time at which to check whether a message must end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct EndCheck {
     at: Micros,
@@ -69,6 +71,7 @@
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct MessageBuffer {
     messages: BTreeMap<MessageId, Message>,
+    /// In the order in which they are due.
     end_checks: BTreeSet<EndCheck>,
 }
 
@@ -97,19 +100,19 @@
         self.messages.remove(&id)
     }
 
-    /// Notes that the message may have to end at a time.
+    /// Schedules a check of whether the message must end.
     pub fn schedule_end_check(&mut self, id: MessageId, at: Micros) {
         self.end_checks.insert(EndCheck { at, message: id });
     }
 
-    /// Takes out the first check that is due; its message may have ended meanwhile.
+    /// Removes the earliest check if it is due, and returns its message, which may have ended meanwhile.
     pub fn take_due_end_check(&mut self, now: Micros) -> Option<MessageId> {
         let first = self.end_checks.first().copied().filter(|check| check.at <= now)?;
         self.end_checks.remove(&first);
         Some(first.message)
     }
 
-    /// When the next check is due.
+    /// When the earliest check is due.
     pub fn next_end_check(&self) -> Option<Micros> {
         self.end_checks.first().map(|check| check.at)
     }
--- a/crates/delivery-control/src/model/mod.rs
+++ b/crates/delivery-control/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Plain records and bookkeeping that the policies work on. Nothing in this folder decides anything.
+//! Data structures that the policies read and update. This module makes no decisions.
 
 mod choice;
 mod endpoint;
@@ -25,7 +25,7 @@
 use crate::ids::Micros;
 use crate::settings::{Idempotency, MessageClass, Settings};
 
-/// One second.
+/// Microseconds in a second.
 pub(crate) const SECOND: Micros = 1_000_000;
 
 /// What every policy may read: the time of the turn and the settings.
@@ -41,12 +41,12 @@
         &self.settings.classes[message.class]
     }
 
-    /// Whether the message may be sent once only.
+    /// Whether the message must not be sent again once an attempt may have taken effect.
     pub fn is_unrepeatable(&self, message: &Message) -> bool {
         self.class(message).idempotency == Idempotency::Never
     }
 
-    /// Number of senders in the fleet, as a factor.
+    /// Number of senders in the fleet, as a floating-point number.
     pub fn sender_count(&self) -> f64 {
         f64::from(self.settings.sender_count)
     }
--- a/crates/delivery-control/src/model/rate_limit.rs
+++ b/crates/delivery-control/src/model/rate_limit.rs
@@ -1,49 +1,57 @@
-//! What is known of a route's limits, and the calls that were made on it.
+//! The rate limit of a route: what the route lists and reports, this sender's own rate, and its recent calls.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{LoadReport, Micros};
 
-/// What a route reported last about its limit.
+/// The limit that a route reported.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct ReportedLimit {
-    /// In calls per second, of all senders.
+    /// In calls per second of all senders together.
     pub limit: f64,
-    /// Fraction that is left.
+    /// Fraction of the limit that is left, from 0 to 1.
     pub remaining: f64,
 }
 
-/// A rejection by a route, with what the decrease depends on.
+/// A rejection by a route, with the values that determine the decrease of the rate.
 pub(crate) struct Rejection {
+    /// The Retry-After, counted from the rejection; 0 if there was none.
     pub retry_after: Micros,
+    /// Number of senders in the fleet.
     pub sender_count: f64,
+    /// See [`RareCallRate::factor`].
     pub rare_call_factor: f64,
-    /// Messages per second that this sender is sure to get for the route.
+    /// Lower estimate of the messages per second that this sender gets for the route.
     pub assured_demand: f64,
-    /// Random number in [0, 1) for the jitter.
+    /// Random number in [0, 1) for the jitter of the next permit.
     pub chance: f64,
 }
 
-/// Rate limit of one route at this sender.
+/// Rate limit that this sender applies to one route.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct RateLimit {
-    /// No call before this time, as the route asked.
+    /// End of the Retry-After: no call is made before it.
     retry_after_until: Micros,
-    /// Calls per second of this sender; unlimited if absent.
+    /// Rate of this sender in calls per second; `None` if it is unlimited.
     pub rate: Option<f64>,
+    /// When the rate permits the next call.
     pub next_permit_at: Micros,
+    /// When the rate was last decreased because of a rejection.
     pub decreased_at: Option<Micros>,
-    /// When calls were made.
+    /// Times of the recent calls of this sender, the oldest first.
     pub sent: Vec<Micros>,
-    /// In calls per second, of all senders.
+    /// Limit in the endpoint list, in calls per second of all senders together.
     listed_limit: Option<f64>,
+    /// The latest limit that the route reported.
     pub reported: Option<ReportedLimit>,
+    /// Rejections since the last delivery; those that the reported limit does not explain count more.
     pub consecutive_rejections: u32,
+    /// When the first of these rejections came.
     pub rejected_since: Micros,
 }
 
 impl RateLimit {
-    /// No call before this time, as the route asked.
+    /// End of the Retry-After: no call is made before it.
     pub fn retry_after_until(&self) -> Micros {
         self.retry_after_until
     }
@@ -60,24 +68,25 @@
         self.listed_limit = limit;
     }
 
-    /// Takes in a report; one without a limit, or with impossible figures, says nothing.
+    /// Stores the limit in a load report. Ignores a report that lacks the limit or what is left of it, or has
+    /// impossible values.
     pub fn record_load_report(&mut self, report: Option<LoadReport>) {
-        let figures = report.and_then(|report| Some((report.limit?, report.limit_remaining?)));
-        let Some((limit, remaining)) = figures else { return };
+        let values = report.and_then(|report| Some((report.limit?, report.limit_remaining?)));
+        let Some((limit, remaining)) = values else { return };
         if limit.is_finite() && limit > 0.0 && remaining >= 0.0 {
             self.reported = Some(ReportedLimit { limit, remaining: remaining.min(1.0) });
         }
     }
 
-    /// Calls made in the latest `span`.
+    /// Number of calls made within the last `span`.
     pub fn sent_within(&self, now: Micros, span: Micros) -> f64 {
         self.sent.iter().filter(|at| now - **at <= span).count() as f64
     }
 }
 
-/// What was learned, over all routes, of how low a rate a first rejection calls for where calls are rare.
+/// Learned over all routes: how far a first rejection must lower the rate of a route with few calls.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct RareCallRate {
-    /// Calls per second that a first rejection leaves for each call in the history.
+    /// Calls per second that remain after a first rejection, for each recent call on the route.
     pub factor: f64,
 }
--- a/crates/delivery-control/src/model/state.rs
+++ b/crates/delivery-control/src/model/state.rs
@@ -1,4 +1,4 @@
-//! The bookkeeping that all policies share: what is buffered, in flight, listed and due.
+//! The state that all policies share, and its read-only view.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,17 +8,19 @@
 };
 use crate::{AttemptEnd, EndpointId, ListingState, MessageId, Micros};
 
-/// Everything that is buffered, in flight, listed and due.
+/// Buffered messages, attempts in flight, endpoints, queues of order keys and scheduled checks.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct State {
     pub messages: MessageBuffer,
     pub in_flight: InFlight,
     pub endpoints: Endpoints,
+    /// Queues of the order keys.
     pub queues: KeyQueues,
+    /// Scheduled checks of destinations.
     pub wake_ups: WakeUps,
 }
 
-/// The state as policies read it at one moment. Each policy adds its questions in its own module.
+/// Read-only view of the state at one moment. Each policy adds its queries in an `impl` in its own module.
 #[derive(Clone, Copy)]
 pub(crate) struct View<'a> {
     pub context: Context<'a>,
@@ -30,13 +32,15 @@
         View { context, state: self }
     }
 
-    /// Starts a turn: its calls open new batches.
+    /// Starts a turn: closes the batches of the previous turn. The first turn also starts the count of
+    /// submitted messages.
     pub fn begin_turn(&mut self, now: Micros) {
         self.endpoints.start_counting(now);
         self.in_flight.begin_turn();
     }
 
-    /// Adds a message that was submitted; it must end if it has not started by `latest_start`.
+    /// Adds a submitted message, and schedules a check at `latest_start`, the last moment at which an attempt
+    /// of it may start.
     pub fn insert(&mut self, id: MessageId, message: Message, latest_start: Micros) {
         if let Some(key) = &message.order_key {
             self.queues.push(key, id);
@@ -47,7 +51,7 @@
         self.enqueue(id);
     }
 
-    /// Removes a message; its place in the queue of its key remains.
+    /// Removes a message, but not from the queue of its order key.
     pub fn remove(&mut self, id: MessageId) -> Option<Message> {
         let message = self.messages.remove(id)?;
         self.endpoints.destination_mut(message.destination).waiting.remove(&id);
@@ -59,12 +63,12 @@
         self.endpoints.lowest_listed_limit(self.messages.get(id)?.destination)
     }
 
-    /// When a destination is to be looked at, and when a message may have to end.
+    /// When the next check of a destination is due, and the next check of whether a message must end.
     pub fn next_due(&self) -> [Option<Micros>; 2] {
         [self.wake_ups.next(), self.messages.next_end_check()]
     }
 
-    /// Notes the Retry-After and the load report that came with an attempt's end.
+    /// Applies the Retry-After and the load report of an attempt's end to the rate limit of its route.
     pub fn record_limits(&mut self, context: Context, attempt: &Attempt, end: &AttemptEnd) {
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else { return };
         let route = endpoint.route;
@@ -74,14 +78,14 @@
         rate_limit.record_load_report(end.load_report);
     }
 
-    /// Has a message wait for its destination, which is looked at in this turn.
+    /// Adds a message to those that wait for its destination, and marks the destination as dirty.
     pub fn enqueue(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(id) else { return };
         self.endpoints.destination_mut(message.destination).waiting.insert(id);
         self.wake_ups.mark_dirty(message.destination);
     }
 
-    /// Notes that an attempt of a waiting message was sent with a call.
+    /// Records that an attempt of a waiting message was sent in a call.
     pub fn record_attempt(&mut self, context: Context, id: MessageId, to: EndpointId, call: CallId) {
         let Some(message) = self.messages.get_mut(id) else { return };
         let key = AttemptKey { message: id, number: message.attempts };
@@ -111,13 +115,14 @@
         self.state.endpoints.rate_limit(endpoint.route)
     }
 
-    /// How many of the listed endpoints get no calls: drained by an operator, draining, or ejected.
+    /// Number of listed endpoints that get no calls now: draining, drained by an operator, or ejected with no
+    /// probe due.
     pub fn avoided_endpoint_count(&self) -> usize {
         let endpoints = self.state.endpoints.iter();
         let listed = endpoints.filter(|endpoint| endpoint.listing != ListingState::Removed);
         let is_avoided = |endpoint: &Endpoint| {
             let ejection = endpoint.health.ejection();
-            !endpoint.available || ejection.is_some_and(|other| other.next_probe_at > self.context.now)
+            !endpoint.available || ejection.is_some_and(|ejection| ejection.next_probe_at > self.context.now)
         };
         listed.filter(|endpoint| is_avoided(endpoint)).count()
     }
--- a/crates/delivery-control/src/settings.rs
+++ b/crates/delivery-control/src/settings.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::Micros;
 
-/// Why settings were not accepted.
+/// The reason why settings are not valid. Its text names fields of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The settings contain no message class.
@@ -13,20 +13,20 @@
     /// A duration is negative.
     #[error("{0} is negative")]
     Negative(&'static str),
-    /// A number that must be positive is not, or is not finite.
+    /// A factor is negative or not finite, or a count is zero.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
-    /// The effect of a message class is not one of the known ones.
+    /// The text that states a message class's idempotency is not a known value.
     #[error("unknown effect {0:?}")]
     UnknownEffect(String),
 }
 
-/// Whether the messages of a class may be sent more than once.
+/// Whether the messages of a class may be sent again after an attempt that may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
     /// Sending again is harmless.
     Always,
-    /// The destination drops repeats of an idempotency key within a window and a scope.
+    /// The destination ignores repeats of an idempotency key, within a window and a scope.
     WithKey,
     /// Sending again may take effect twice.
     Never,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Which endpoints of a destination share the record of idempotency keys.
+/// Which endpoints of a destination share a record of the idempotency keys they have seen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum IdempotencyScope {
     /// All endpoints.
@@ -61,17 +61,18 @@
     /// Linearly, down to the residual value at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, but not below the residual value.
+    /// Exponentially: it halves with each further latency objective that passes, but not below the residual
+    /// value.
     Exponential,
 }
 
-/// How the endpoint list reaches this sender.
+/// How changes of the endpoint list reach this sender.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed.
+    /// Changes are pushed without a subscription.
     #[default]
     Push,
-    /// Changes arrive only on a subscription or in the answer to a fetch.
+    /// Changes arrive only on a subscription or in the response to a fetch.
     Subscribe,
 }
 
@@ -80,152 +81,153 @@
 pub struct MessageClass {
     /// Whether its messages may be sent more than once.
     pub idempotency: Idempotency,
-    /// With an idempotency key: which endpoints share the record of keys.
+    /// For [`Idempotency::WithKey`]: which endpoints share the record of keys.
     pub idempotency_scope: IdempotencyScope,
-    /// With an idempotency key: how long repeats are dropped, from the first ambiguous attempt on.
+    /// For [`Idempotency::WithKey`]: how long repeats are ignored, counted from the first ambiguous attempt.
     pub idempotency_window: Micros,
-    /// A message delivered within this time has its full value.
+    /// A message has its full value if it is delivered within this time after it was first submitted.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the message's expected work.
+    /// The latency objective grows by this multiple of the message's expected processing time.
     pub latency_objective_stretch: f64,
     /// A message is given up this long after it was first submitted.
     pub deadline: Micros,
-    /// Value of a message.
+    /// Value of a delivery within the latency objective.
     pub value: f64,
-    /// Fraction of the value that is left at the deadline.
+    /// Fraction of the value that is left just before the deadline.
     pub residual_value: f64,
-    /// Messages with the same order key are delivered one at a time, in order.
+    /// Whether messages with the same order key are delivered one at a time, in order.
     pub ordered: bool,
-    /// Responses are streamed.
+    /// Whether responses are streamed to the client.
     pub stream: bool,
 }
 
 /// A kind of destination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DestinationKind {
-    /// Each endpoint is a route of its own, with its own rate limit and outages.
+    /// Whether each endpoint is a route of its own, with its own rate limit and outages.
     pub per_endpoint_limits: bool,
-    /// Messages that one call may carry.
+    /// Maximum number of messages in one call.
     pub max_batch_size: usize,
 }
 
 /// A zone in which endpoints run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Zone {
-    /// Cost of each message that an endpoint with limits of its own in this zone accepts.
+    /// Cost of each message that is accepted by an endpoint in this zone that has limits of its own.
     pub fee: f64,
 }
 
 /// A tenant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tenant {
-    /// Messages per second, over all senders, that are within the tenant's quota.
+    /// The tenant's quota, in messages per second over all senders.
     pub quota: f64,
 }
 
-/// What the host allows.
+/// Limits and permissions of the host.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Limits {
-    /// Concurrency limit: calls in flight at once.
+    /// Concurrency limit: maximum number of calls in flight.
     pub max_in_flight: usize,
-    /// Buffer capacity: messages that may be open at once.
+    /// Buffer capacity: maximum number of messages without a final answer.
     pub buffer_capacity: usize,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed with [`crate::Action::Probe`].
     pub may_probe: bool,
-    /// Notes to other senders may be sent.
+    /// Whether notes may be sent to other senders.
     pub may_send_notes: bool,
-    /// A message may have two attempts in flight.
+    /// Whether a message may have two attempts in flight.
     pub may_hedge: bool,
-    /// Clients are told when to submit a rejected message again.
+    /// Whether clients are told when to submit a rejected message again.
     pub may_advise_retry: bool,
-    /// The longest such advice that they honour.
+    /// The longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// A connection that is not established within this time has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// Idle connections are closed after this time.
+    /// Idle time after which a connection is closed.
     pub connection_idle: Micros,
 }
 
-/// The parameters of the protocol's rules.
+/// Parameters of the protocol's rules.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Rules {
-    /// A final answer counts until this long after the deadline.
+    /// A final answer is accepted until this long after the deadline.
     pub answer_slack: Micros,
-    /// A sender without a subscription is deemed to know a list that is this old.
+    /// A sender without a subscription is expected to know changes of the endpoint list that are this old.
     pub poll_within: Micros,
-    /// New attempts to a draining or removed endpoint must have ceased after this time.
+    /// Time within which new attempts to a draining or removed endpoint must cease.
     pub drain_grace: Micros,
-    /// A cold destination fails when it is overloaded for this long.
+    /// A cold destination fails if it is overloaded for this long.
     pub overload_tolerance: Micros,
-    /// Overloaded means to receive more than this multiple of the present capacity.
+    /// A destination is overloaded if it receives more calls than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// Fraction of its capacity that a destination has right after an outage.
+    /// Fraction of its full capacity that a destination has right after an outage.
     pub initial_capacity: f64,
-    /// It has all of its capacity again after this time.
+    /// Time after an outage until a destination has its full capacity again.
     pub warm_up_time: Micros,
-    /// How long an order key is quarantined after an attempt that may still be running.
+    /// How long an order key is quarantined after an attempt that may still be running at its endpoint.
     pub quarantine_time: Micros,
 }
 
-/// What operations cost, each times its rate.
+/// Costs of operations; each price is multiplied by the rate of its operation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// Price of an attempt to an endpoint in another zone.
     pub cross_zone: f64,
-    /// A new connection.
+    /// Price of a new connection.
     pub handshake: f64,
-    /// A probe.
+    /// Price of a probe.
     pub probe: f64,
-    /// A call that a rate limit rejects.
+    /// Price of a call that a rate limit rejects.
     pub rejection: f64,
 }
 
-/// All that a controller is told at its start.
+/// The settings that a controller is created with.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// Message classes. Events refer to them, as to kinds, zones and tenants, by index.
+    /// Message classes. Events refer to classes, kinds, zones and tenants by index.
     pub classes: Vec<MessageClass>,
-    /// Kinds of destination.
+    /// Kinds of destinations.
     pub kinds: Vec<DestinationKind>,
-    /// Zones.
+    /// Zones in which endpoints run.
     pub zones: Vec<Zone>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a message beyond its tenant's quota, as a fraction.
+    /// Factor on the value of a message beyond its tenant's quota.
     pub over_quota_value: f64,
-    /// How value decays after the latency objective.
+    /// How the value of a message decays after its latency objective.
     pub decay: ValueDecay,
-    /// How the endpoint list arrives.
+    /// How changes of the endpoint list reach this sender.
     pub discovery: DiscoveryMode,
-    /// Whether the rates in endpoint lists mean calls per second of all senders together.
+    /// Whether the rates in endpoint lists are rate limits in calls per second of all senders together.
     pub rates_are_listed: bool,
     /// Number of senders in the fleet.
     pub sender_count: u32,
-    /// This sender's number among them.
+    /// Number of this sender in the fleet, counted from 0.
     pub ordinal: u32,
     /// Index of this sender's zone.
     pub zone: usize,
-    /// Turns come no more often than this.
+    /// Minimum time between turns.
     pub turn_interval: Micros,
-    /// What the host allows.
+    /// Limits and permissions of the host.
     pub limits: Limits,
-    /// The parameters of the protocol's rules.
+    /// Parameters of the protocol's rules.
     pub rules: Rules,
-    /// What operations cost.
+    /// Costs of operations.
     pub prices: Prices,
-    /// A rejected or failed message is over only once [`crate::Event::NoticeAcknowledged`] says so.
+    /// Whether a message that is rejected or failed keeps its place in the queue of its order key until
+    /// [`crate::Event::NoticeAcknowledged`] is reported.
     pub notices_are_acknowledged: bool,
 }
 
 impl Settings {
-    /// Checks that the settings are well formed.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// Names the first setting that is not.
+    /// Returns an error that names the first setting that is not valid.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
