--- a/crates/delivery-control/src/settings.rs
+++ b/crates/delivery-control/src/settings.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The settings contain no message class.
-    #[error("settings name no message class")]
+    #[error("the settings contain no message class")]
     NoClasses,
     /// A duration is negative.
     #[error("{0} is negative")]
@@ -240,22 +240,22 @@
     fn validate_durations(&self) -> Result<(), SettingsError> {
         let class_durations = self.classes.iter().flat_map(|class| {
             [
-                ("aim", class.latency_objective),
+                ("latency_objective", class.latency_objective),
                 ("deadline", class.deadline),
-                ("key window", class.idempotency_window),
+                ("idempotency_window", class.idempotency_window),
             ]
         });
         let durations = [
-            ("resolution", self.turn_interval),
-            ("connect time-out", self.limits.connect_timeout),
-            ("connection idle time", self.limits.connection_idle),
-            ("retry-after maximum", self.limits.max_retry_after),
-            ("answer slack", self.rules.answer_slack),
-            ("ask-within time", self.rules.poll_within),
-            ("drain grace", self.rules.drain_grace),
-            ("fall time", self.rules.overload_tolerance),
-            ("warm time", self.rules.warm_up_time),
-            ("order pause", self.rules.quarantine_time),
+            ("turn_interval", self.turn_interval),
+            ("connect_timeout", self.limits.connect_timeout),
+            ("connection_idle", self.limits.connection_idle),
+            ("max_retry_after", self.limits.max_retry_after),
+            ("answer_slack", self.rules.answer_slack),
+            ("poll_within", self.rules.poll_within),
+            ("drain_grace", self.rules.drain_grace),
+            ("overload_tolerance", self.rules.overload_tolerance),
+            ("warm_up_time", self.rules.warm_up_time),
+            ("quarantine_time", self.rules.quarantine_time),
         ];
         match class_durations.chain(durations).find(|(_, duration)| *duration < 0) {
             Some((name, _)) => Err(SettingsError::Negative(name)),
@@ -266,15 +266,15 @@
     fn validate_factors(&self) -> Result<(), SettingsError> {
         let class_factors = self.classes.iter().flat_map(|class| {
             [
-                ("worth", class.value),
-                ("late share", class.residual_value),
-                ("aim stretch", class.latency_objective_stretch),
+                ("value", class.value),
+                ("residual_value", class.residual_value),
+                ("latency_objective_stretch", class.latency_objective_stretch),
             ]
         });
         let factors = [
-            ("overload factor", self.rules.overload_factor),
-            ("start capacity", self.rules.initial_capacity),
-            ("over-share worth", self.over_quota_value),
+            ("overload_factor", self.rules.overload_factor),
+            ("initial_capacity", self.rules.initial_capacity),
+            ("over_quota_value", self.over_quota_value),
         ];
         let is_valid = |factor: f64| factor.is_finite() && factor >= 0.0;
         match class_factors.chain(factors).find(|(_, factor)| !is_valid(*factor)) {
@@ -285,10 +285,10 @@
 
     fn validate_counts(&self) -> Result<(), SettingsError> {
         let counts = [
-            ("slots", self.limits.max_in_flight),
-            ("held messages", self.limits.buffer_capacity),
-            ("attempts", self.limits.max_attempts as usize),
-            ("senders", self.sender_count as usize),
+            ("max_in_flight", self.limits.max_in_flight),
+            ("buffer_capacity", self.limits.buffer_capacity),
+            ("max_attempts", self.limits.max_attempts as usize),
+            ("sender_count", self.sender_count as usize),
         ];
         match counts.iter().find(|(_, count)| *count == 0) {
             Some((name, _)) => Err(SettingsError::OutOfRange(name)),
