--- a/crates/message-sender/src/attempt_id.rs
+++ b/crates/message-sender/src/attempt_id.rs
@@ -1,12 +1,12 @@
-//! What identifies an attempt, in this process and in a predecessor's.
+//! The identifier of an attempt, in this process and in a predecessor process.
 
 use delivery_control::MessageId;
 use serde::{Deserialize, Serialize};
 
-/// One attempt to deliver one message.
+/// Identifies one attempt to deliver one message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The message, as the journal numbers it.
+    /// The message's id in the journal.
     pub message_id: MessageId,
     /// Number of the attempt, counted from 0.
     pub attempt: u32,
--- a/crates/message-sender/src/drain.rs
+++ b/crates/message-sender/src/drain.rs
@@ -1,15 +1,16 @@
-//! The timeline of a graceful shutdown, counted from the request to shut down.
+//! Time limits of a graceful shutdown, counted from the request to shut down unless stated otherwise.
 //!
-//! The platform sends SIGKILL 3.7 s after SIGTERM at the soonest; everything here fits below that.
+//! The platform sends SIGKILL 3.7 s after SIGTERM at the earliest; a shutdown within these limits ends
+//! before that.
 
 use std::time::Duration;
 
-/// From this moment on no further attempt is started.
-pub const LAST_ATTEMPT_AFTER: Duration = Duration::from_millis(2400);
-/// The process ends, whatever is still in flight.
+/// Time from which no further attempt is started.
+pub const ATTEMPTS_STOP_AFTER: Duration = Duration::from_millis(2400);
+/// Time at which the process stops working, even if attempts are still in flight.
 pub const DRAIN_DEADLINE: Duration = Duration::from_millis(3300);
-/// A process with nothing left to do stays this long all the same, for connections that still arrive: load
-/// balancers in front notice a drain only after a while.
+/// Least time before the process ends, even with nothing left to do: connections still arrive, because the
+/// load balancers in front of it notice a drain only after a while.
 pub const MINIMUM_DRAIN: Duration = Duration::from_millis(1000);
-/// Allowed beyond the end of the event loop for the last replies to reach clients.
+/// Time after the end of the event loop in which the last replies may still reach their clients.
 pub const FINAL_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/message-sender/src/event.rs
+++ b/crates/message-sender/src/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks on sockets report to the event loop.
+//! Events that socket tasks report to the event loop.
 
 use delivery_control::{EndpointId, MessageId, Micros};
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,23 @@
 use crate::endpoint_list::EndpointList;
 use crate::submission::{Submission, SubmissionReply};
 
-/// The end of an attempt. It crosses the relay between two processes as it is.
+/// The end of an attempt. It is also sent over the relay between two processes, in this form.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct FinishedAttempt {
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt_id: AttemptId,
     /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// Time since the attempt was started.
+    /// Time from the attempt's start to its end, in microseconds.
     pub elapsed: Micros,
     /// How it ended.
     pub result: AttemptResult,
 }
 
-/// Something that happened on a socket.
+/// An event that a socket task reports, or a request to shut down.
 pub enum SenderEvent {
-    /// A client submitted a message and waits for the reply. A client that goes away closes the channel.
+    /// A client submitted a message and waits for the reply. If the client disconnects, the reply channel is
+    /// closed.
     Submitted(Box<Submission>, oneshot::Sender<SubmissionReply>),
     /// An attempt ended.
     AttemptEnded(FinishedAttempt),
@@ -32,6 +33,6 @@
     EndpointListReceived(EndpointList),
     /// The platform acknowledged the notices of these messages.
     NoticesAcknowledged(Vec<MessageId>),
-    /// The process was asked to end.
+    /// The process was requested to shut down.
     ShutdownRequested,
 }
--- a/crates/message-sender/src/submission.rs
+++ b/crates/message-sender/src/submission.rs
@@ -1,6 +1,6 @@
 //! A message as a client submits it, and the reply that the client gets.
 //!
-//! Both also cross the relay between two processes, which encodes fields by name.
+//! Both are also sent over the relay between two processes, which encodes fields by name.
 
 use bytes::Bytes;
 use delivery_control::{DestinationId, Micros};
@@ -9,7 +9,7 @@
 /// A message that a client submits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Submission {
-    /// The id by which the client names the message; submitting it again names the same message.
+    /// The id that the client gave the message. Another submission with this id is of the same message.
     pub call_id: String,
     /// The idempotency key, sent along with each attempt.
     pub key: Option<String>,
@@ -23,13 +23,13 @@
     pub tenant: Option<usize>,
     /// The key within which ordered classes keep their messages in order.
     pub order_key: Option<String>,
-    /// Time left until the deadline.
+    /// Time left until the deadline, in microseconds.
     pub time_left: Micros,
-    /// A sender that died had accepted the message before.
+    /// Whether a sender that died had accepted the message before.
     pub returned: bool,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the submission as a retry of its own.
     pub repeat: bool,
-    /// The body, passed on as it is.
+    /// The body, passed on unchanged.
     pub body: Bytes,
 }
 
@@ -38,10 +38,11 @@
 pub enum SubmissionReply {
     /// The sender has accepted the message and will report how it ends.
     Accepted,
-    /// The message was not accepted. When to submit it again, counted from now; 0 for no advice.
+    /// The message was not accepted. Holds the time, in microseconds from now, after which to submit it
+    /// again; 0 for no advice.
     Rejected(Micros),
-    /// There is no such destination.
+    /// The message's destination does not exist.
     UnknownDestination,
-    /// Nobody knows whether the message was accepted: it must not be submitted again.
+    /// It is unknown whether the message was accepted, so it must not be submitted again.
     Undetermined,
 }
