--- a/crates/message-sender/src/event_loop/attempts.rs
+++ b/crates/message-sender/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Starting an attempt to deliver a message.
+//! Starts attempts to deliver messages.
 
 use std::rc::Rc;
 
@@ -16,17 +16,17 @@
 use crate::journal::AttemptStart;
 use crate::time::{duration, micros};
 
-/// The times that the controller sets for an attempt.
+/// The time limits that the controller sets for an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptLimits {
-    /// How long it may take.
+    /// How long the attempt may take, in microseconds.
     pub timeout: Micros,
-    /// By when its first byte must be sent; later it is not sent at all.
+    /// The latest time for its first byte, on the journal's clock. Past this time the attempt is not sent.
     pub begin_by: Micros,
 }
 
 impl EventLoop {
-    /// Starts an attempt, which reports its end as an event.
+    /// Starts an attempt. It reports its end as a [`SenderEvent`].
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -48,7 +48,8 @@
         self.spawn_call(attempt_id, call, cancelled);
     }
 
-    /// Makes the call of an attempt; `None` if the message or the endpoint is gone.
+    /// Builds the call of an attempt. Returns `None` if the message or the endpoint is gone, if their
+    /// destinations differ, or if the call id cannot be sent in a header.
     fn prepare_call(
         &self,
         now: Micros,
@@ -58,7 +59,7 @@
     ) -> Option<Call> {
         let registered = self.registry.get(endpoint)?;
         let message = self.open_messages.get(id)?;
-        // An attempt at an endpoint of another destination would be worse than none.
+        // Not sending the message does less harm than sending it to another destination.
         if registered.route.destination != message.destination {
             return None;
         }
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Counts an attempt of a message, and returns its number.
+    /// Counts an attempt of a message and returns the attempt's number, counted from 0.
     fn count_attempt(&mut self, id: MessageId) -> u32 {
         let Some(message) = self.open_messages.get_mut(id) else { return 0 };
         let attempt = message.attempts;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Reports an attempt of which no byte was sent, since its message or its endpoint is gone.
+    /// Reports to the controller that an attempt was not sent because no call could be built for it.
     fn report_not_sent(&mut self, id: MessageId, endpoint: EndpointId) {
         let attempt = self.count_attempt(id);
         self.events.push(Event::AttemptEnded(AttemptEnd {
@@ -124,13 +125,13 @@
             let result = delivery.call(call, cancelled).await;
             let elapsed = micros(started.elapsed());
             let ended = SenderEvent::AttemptEnded(FinishedAttempt { attempt_id, endpoint, elapsed, result });
-            // Only at the process's end is there nobody left who receives it.
+            // Fails only while the process terminates, when the receiver is dropped.
             let _ = event_sender.send(ended).await;
         });
     }
 
-    /// How a call records its progress in the journal. The function returns false where the call must not go
-    /// on.
+    /// Returns the callback by which a call records its progress in the journal. The callback returns false
+    /// if the call must not proceed.
     fn phase_recorder(
         &self,
         start: AttemptStart,
@@ -146,7 +147,7 @@
             let Some(journal) = journal.upgrade() else { return false };
             let mut journal = journal.borrow_mut();
             let written = match phase {
-                // The message has ended while the connection was being established.
+                // The message ended while the connection was being established.
                 AttemptPhase::Starting if !guard.borrow().is_open(id) => return false,
                 AttemptPhase::Starting
                     if !check_start(&mut guard.borrow_mut(), &invariants, clock.now(), starting) =>
--- a/crates/message-sender/src/event_loop/audit.rs
+++ b/crates/message-sender/src/event_loop/audit.rs
@@ -1,5 +1,5 @@
-//! The run-time check of invariants: on each message that opens, starts an attempt or ends, and once a second
-//! on all that are open.
+//! Checks invariants at run time: whenever an attempt starts or a message ends, and once a second for all
+//! open messages.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,41 +13,42 @@
 use crate::invariants::InvariantMonitor;
 use crate::journal::{AttemptHistory, AttemptStart, Journal};
 
-/// How often all open messages are checked.
+/// Time between two audits of all open messages.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(1);
-/// A restart has so long, counted from its being ready, to end what became due meanwhile; so has a process
-/// that was suspended, counted from its being resumed.
+/// Grace period after the process starts or resumes from a suspension, in which it ends the messages that
+/// came due meanwhile. Late ends are not reported during this period, and no audit is made.
 const RECOVERY_GRACE: Duration = Duration::from_millis(1_500);
-/// A process that wakes up later than this after it wanted to was suspended.
-const SUSPENSION: Duration = Duration::from_millis(200);
+/// A wake-up that is late by more than this means that the process was suspended.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// What the guard needs of a message beyond its class.
-pub struct OpenedMessage {
-    /// Index of its class.
+/// What the guard is told about a message. The class's idempotency rules are looked up in the settings.
+pub struct GuardRegistration {
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Where it goes.
+    /// Where it is to be delivered.
     pub destination: delivery_control::DestinationId,
-    /// When it must have ended.
+    /// When it must have ended, on the journal's clock.
     pub deadline: Micros,
-    /// The key within which messages keep their order.
+    /// The key within which messages are delivered in order.
     pub order_key: Option<String>,
     /// The first attempt of an earlier process that may have taken effect.
     pub first_ambiguous: Option<AmbiguousAttempt>,
 }
 
-/// When the last audit was made, and since when the process has been running without a break.
+/// The time of the last audit, and the time since which the process has run without a suspension.
 pub struct AuditSchedule {
     running_since: Instant,
     last: Instant,
 }
 
 impl AuditSchedule {
-    /// Begins now.
+    /// Starts the schedule now, as after a start of the process.
     pub fn start() -> Self {
         let now = Instant::now();
         Self { running_since: now, last: now }
     }
 
+    /// Whether an audit is due. If so, the next one is due an interval later.
     fn take_due(&mut self) -> bool {
         let is_due = self.last.elapsed() >= AUDIT_INTERVAL;
         if is_due {
@@ -56,37 +57,38 @@
         is_due
     }
 
+    /// Whether the grace period after a start or a suspension has not passed yet.
     fn is_recovering(&self) -> bool {
         self.running_since.elapsed() < RECOVERY_GRACE
     }
 
-    /// The process is awake, and wanted to be by then.
-    pub fn record_wake_up(&mut self, wanted_at: Instant) {
-        if wanted_at.elapsed() > SUSPENSION {
-            tracing::warn!(late_ms = wanted_at.elapsed().as_millis(), "the process was suspended");
+    /// Records that the process woke up now, and recognizes a suspension by how late that is.
+    pub fn record_wake_up(&mut self, scheduled_at: Instant) {
+        if scheduled_at.elapsed() > SUSPENSION_THRESHOLD {
+            tracing::warn!(late_ms = scheduled_at.elapsed().as_millis(), "the process was suspended");
             self.running_since = Instant::now();
         }
     }
 }
 
 impl EventLoop {
-    /// Has the guard watch a message from now on.
-    pub(super) fn guard_message(&self, id: MessageId, opened: OpenedMessage) {
-        let rules = &self.settings.classes[opened.class];
+    /// Registers a message with the guard, which checks its attempts and its end.
+    pub(super) fn register_with_guard(&self, id: MessageId, registration: GuardRegistration) {
+        let rules = &self.settings.classes[registration.class];
         let message = GuardedMessage {
-            destination: opened.destination,
-            deadline: opened.deadline,
+            destination: registration.destination,
+            deadline: registration.deadline,
             idempotency: rules.idempotency,
             idempotency_scope: rules.idempotency_scope,
             idempotency_window: rules.idempotency_window,
-            order_key: opened.order_key,
-            first_ambiguous: opened.first_ambiguous,
+            order_key: registration.order_key,
+            first_ambiguous: registration.first_ambiguous,
         };
         self.guard.borrow_mut().open(id, message);
     }
 
-    /// The guard's check of a message's end.
-    pub(super) fn guard_end(&self, id: MessageId, with_notice: bool) {
+    /// Ends a message in the guard, and reports it if it ended too late.
+    pub(super) fn check_end(&self, id: MessageId, with_notice: bool) {
         let closed = self.guard.borrow_mut().close(self.clock.now(), id, with_notice);
         match closed {
             Err(invariant) if !self.audits.is_recovering() => self.invariants.report(invariant, id),
@@ -95,21 +97,23 @@
         self.invariants.forget(id);
     }
 
-    /// Compares all open messages with the journal and the clock, when that is due.
+    /// If an audit is due, checks that the journal and the guard hold the same open messages, and that none
+    /// of them is overdue.
     pub(super) fn audit(&mut self) {
         if !self.audits.take_due() || self.audits.is_recovering() {
             return;
         }
         let guard = self.guard.borrow();
         let journal = self.journal.borrow();
-        report_orphans(&guard, &journal, &self.invariants);
+        report_journal_mismatches(&guard, &journal, &self.invariants);
         for id in guard.overdue(self.clock.now()) {
             self.invariants.report(Invariant::EndInTime, id);
         }
     }
 }
 
-fn report_orphans(guard: &AttemptGuard, journal: &Journal, invariants: &Rc<InvariantMonitor>) {
+/// Reports messages that are open in the journal but not in the guard, and the reverse.
+fn report_journal_mismatches(guard: &AttemptGuard, journal: &Journal, invariants: &Rc<InvariantMonitor>) {
     for id in journal.open_messages().filter(|id| !guard.is_open(*id)) {
         invariants.report(Invariant::JournalHoldsNoOrphan, id);
     }
@@ -118,7 +122,7 @@
     }
 }
 
-/// Whether an attempt may be sent now; a violation is reported.
+/// Returns whether an attempt may be sent now. If not, reports the invariant that it would violate.
 pub fn check_start(
     guard: &mut AttemptGuard,
     invariants: &InvariantMonitor,
@@ -134,12 +138,12 @@
     }
 }
 
-/// The first attempt of a message that may have taken effect, as the journal has it.
+/// The first attempt in a message's journal history that may have taken effect.
 pub fn first_ambiguous(history: &AttemptHistory) -> Option<AmbiguousAttempt> {
     history.first_ambiguous().map(ambiguous_attempt)
 }
 
-/// An attempt that may have taken effect, in the controller's terms.
+/// Converts the journal's record of an attempt that may have taken effect to the controller's type.
 pub fn ambiguous_attempt(start: AttemptStart) -> AmbiguousAttempt {
     AmbiguousAttempt { sent_at: start.sent_at, zone: start.zone as usize }
 }
--- a/crates/message-sender/src/event_loop/clock.rs
+++ b/crates/message-sender/src/event_loop/clock.rs
@@ -1,4 +1,4 @@
-//! The time in which the journal and the controller count.
+//! The clock that the journal and the controller use.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -9,14 +9,15 @@
 use crate::machine_clock::MachineTime;
 use crate::time::{duration, micros};
 
-/// The clocks of two processes differ by no more, unless somebody has set the system's time in between.
+/// Largest difference between the clocks of two processes, in microseconds, if the system's time has not been
+/// set in between.
 const MAX_CLOCK_DIFFERENCE: Micros = 2_000_000;
 
-/// A clock that never steps, while this process lives nor from one process to the next.
+/// A clock that does not step, neither within a process nor from one process to the next.
 ///
-/// It shows Unix time as the first process that wrote the journal read it, and has advanced with the machine's
-/// monotonic clock since. Only after a boot, or where the journal tells no reading of that clock, is the
-/// system's time read once more.
+/// It starts from the Unix time that the first process with this journal read, and advances with the
+/// machine's monotonic clock. The system's time is read again only after a reboot, or if the journal holds no
+/// reading of the monotonic clock.
 #[derive(Clone, Copy)]
 pub struct JournalClock {
     started: Instant,
@@ -30,7 +31,8 @@
         Self { started: Instant::now(), time_at_start }
     }
 
-    /// Goes on from an earlier process's reading, if the machine has not been booted since.
+    /// Continues from an earlier process's reading, or starts at the system's time if there is none or the
+    /// machine has been rebooted since.
     pub fn resume(last: Option<&ClockReading>, now: Option<&MachineTime>) -> Self {
         let system = Self::start();
         let resumed =
@@ -38,12 +40,16 @@
         let Some(time_at_start) = resumed else { return system };
         let step = system.time_at_start - time_at_start;
         if step.abs() >= MAX_CLOCK_DIFFERENCE {
-            tracing::warn!(step_ms = step / 1000, "the system's time was set since the journal was begun");
+            tracing::warn!(
+                step_ms = step / 1000,
+                "the system's time was set since the journal's clock was started"
+            );
         }
         Self { time_at_start, ..system }
     }
 
-    /// Continues where the clock of another process stood a moment ago, unless this one agrees with it.
+    /// Sets this clock to what another process's clock showed a moment ago, unless this clock is ahead of it
+    /// by less than `MAX_CLOCK_DIFFERENCE`.
     pub fn restore(&mut self, other_now: Micros) {
         let ahead = self.now() - other_now;
         if !(0..MAX_CLOCK_DIFFERENCE).contains(&ahead) {
@@ -51,12 +57,12 @@
         }
     }
 
-    /// The present time.
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         self.time_at_start + micros(self.started.elapsed())
     }
 
-    /// The instant at which this clock shows the given time; its start for times before that.
+    /// The instant at which this clock shows the given time; for times before its start, the start.
     pub fn instant(&self, at: Micros) -> Instant {
         self.started + duration(at - self.time_at_start)
     }
--- a/crates/message-sender/src/event_loop/commands.rs
+++ b/crates/message-sender/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, and when they are acknowledged.
+//! Executes operator commands and acknowledges them.
 
 use delivery_control::{Event, MaintenanceCommand};
 
@@ -7,11 +7,12 @@
 use crate::operator_api::{CommandResult, OperatorCommand, OperatorRequest};
 
 impl EventLoop {
-    /// Carries out an operator's command. It is stored first, and acknowledged after the controller's next
-    /// turn.
+    /// Executes an operator command. The command is stored in the journal first, and acknowledged after the
+    /// controller's next turn.
     pub(super) fn handle_command(&mut self, request: OperatorRequest) {
         let OperatorRequest { command, reply } = request;
-        // If the caller is gone, nothing was promised; so below.
+        // A command is dropped if its caller has disconnected: it was not acknowledged. For the same reason,
+        // failures to send a reply are ignored below.
         if reply.is_closed() {
             return;
         }
@@ -53,7 +54,7 @@
         self.events.push(Event::Maintenance { endpoint, command });
     }
 
-    /// Acknowledges the commands that the controller has taken in.
+    /// Acknowledges the commands that the controller has processed.
     pub(super) fn acknowledge_commands(&mut self) {
         for reply in self.unacknowledged_commands.drain(..) {
             let _ = reply.send(CommandResult::Done);
--- a/crates/message-sender/src/event_loop/completion.rs
+++ b/crates/message-sender/src/event_loop/completion.rs
@@ -1,4 +1,4 @@
-//! How messages end.
+//! Ends messages: counts their outcome, records it in the journal and queues the notice of it.
 
 use delivery_control::{AttemptOutcome, Event, Idempotency, MessageId, Micros};
 
@@ -12,26 +12,27 @@
 use crate::notice::{Notice, NoticeResult};
 
 impl EventLoop {
-    /// Ends a message about which the platform needs no notice. Without an outcome it is not counted: its
-    /// client never heard that it was accepted.
+    /// Ends a message for which the platform needs no notice. An outcome of `None` is not counted; it stands
+    /// for a message whose client was never told that the message was accepted.
     pub(super) fn end_without_notice(&mut self, id: MessageId, outcome: Option<MessageOutcome>) {
         if self.close_message(id, outcome).is_some() {
-            self.guard_end(id, false);
+            self.check_end(id, false);
             let recorded = self.journal.borrow_mut().record_end(id, None);
-            self.note_outcome(recorded);
+            self.count_unrecorded_outcome(recorded);
         }
     }
 
-    /// Ends a message by a notice, unless its client has had a rejection for a reply already.
+    /// Ends a message with a notice to the platform. If the message is not open any more, its client got the
+    /// rejection as the reply to its submission: the controller is told that the notice was acknowledged.
     pub(super) fn end_with_notice(&mut self, id: MessageId, result: NoticeResult) {
         let outcome = match result {
             NoticeResult::Rejected { .. } => MessageOutcome::Rejected,
             NoticeResult::Failed => MessageOutcome::Failed,
         };
-        self.count_given_up(id, outcome);
+        self.count_undelivered(id, outcome);
         match self.close_message(id, Some(outcome)) {
             Some(message) => {
-                self.guard_end(id, true);
+                self.check_end(id, true);
                 let notice = Notice { call_id: message.call_id, result };
                 let is_repeatable = self.settings.classes[message.class].idempotency == Idempotency::Always;
                 self.queue_notice(id, notice, is_repeatable, message.deadline);
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Counts a message that the controller rejects or fails.
-    pub(super) fn count_given_up(&mut self, id: MessageId, outcome: MessageOutcome) {
+    /// Counts and logs a message that the controller rejects or fails.
+    pub(super) fn count_undelivered(&mut self, id: MessageId, outcome: MessageOutcome) {
         let Some(message) = self.open_messages.get(id) else { return };
         let cause = match (outcome, message.attempts, message.origin) {
             (MessageOutcome::Rejected, 0, MessageOrigin::Recovered) => RejectionCause::RecoveredUnattempted,
@@ -54,13 +55,14 @@
             call_id = message.call_id,
             ?cause,
             attempts = message.attempts,
-            "message given up"
+            "message rejected or failed"
         );
         self.summary.count_rejection(cause, message.destination);
     }
 
-    /// Writes a message's end to the journal, and queues the notice of it. A rejection asks the client to
-    /// submit the message again: until it is sure that no later process sends this one too, it is held back.
+    /// Records a message's end in the journal and queues its notice. A rejection makes the client submit the
+    /// message again, so its notice is held back until no later process can send this message as well. A
+    /// message that is safe to repeat needs no such delay.
     pub(super) fn queue_notice(
         &mut self,
         id: MessageId,
@@ -70,7 +72,7 @@
     ) {
         let recorded = self.journal.borrow_mut().record_end(id, Some(notice.clone()));
         let is_recorded = recorded.is_ok();
-        self.note_outcome(recorded);
+        self.count_unrecorded_outcome(recorded);
         let is_rejection = matches!(notice.result, NoticeResult::Rejected { .. });
         if is_recorded || is_repeatable || !is_rejection {
             self.notices.push(id, notice);
@@ -79,8 +81,9 @@
         }
     }
 
-    /// Notes whether what became of a message or an attempt could be recorded at once; if not, it is later.
-    pub(super) fn note_outcome(&self, recorded: Result<(), JournalError>) {
+    /// Counts an outcome of a message or an attempt if it could not be recorded at once. The journal records
+    /// it later.
+    pub(super) fn count_unrecorded_outcome(&self, recorded: Result<(), JournalError>) {
         if let Err(error) = recorded {
             self.journal_failures.count(UnrecordedStep::Outcome, &error);
         }
@@ -95,8 +98,8 @@
     }
 }
 
-/// What became of a message that an attempt ended. One that was not delivered is past its deadline, or was
-/// given up by its client.
+/// The outcome of a message that ended with an attempt. A message that was not delivered is past its
+/// deadline, or was given up by its client.
 pub fn final_outcome(result: &AttemptResult) -> MessageOutcome {
     if result.outcome == AttemptOutcome::Delivered {
         MessageOutcome::Delivered
--- a/crates/message-sender/src/event_loop/events.rs
+++ b/crates/message-sender/src/event_loop/events.rs
@@ -1,4 +1,4 @@
-//! What happens on sockets, as events for the controller.
+//! Handles events from socket tasks and reports them to the controller.
 
 use delivery_control::{AttemptEnd, Event, MessageId};
 
@@ -10,7 +10,7 @@
 use crate::event::{FinishedAttempt, SenderEvent};
 
 impl EventLoop {
-    /// Takes in what happened on a socket.
+    /// Handles an event that a socket task reported.
     pub(super) fn handle_event(&mut self, event: SenderEvent) {
         match event {
             SenderEvent::Submitted(submission, reply) => self.handle_submission(*submission, reply),
@@ -28,8 +28,9 @@
         }
     }
 
-    /// Takes in events that this process received while a successor was the sender. Of this process's
-    /// attempts the journal knows that they were in flight; a message that one of them has ended is over.
+    /// Handles events that this process received while a successor was the sender. The journal already
+    /// records that this process's attempts were in flight, so only an attempt that ended its message
+    /// matters.
     pub fn replay_missed_events(&mut self, events: Vec<SenderEvent>) {
         for event in events {
             match event {
@@ -68,7 +69,7 @@
             self.end_without_notice(message_id, Some(final_outcome(&result)));
         } else if request_started && outcome.had_no_effect() && self.open_messages.contains(message_id) {
             let recorded = self.journal.borrow_mut().record_unprocessed(message_id);
-            self.note_outcome(recorded);
+            self.count_unrecorded_outcome(recorded);
         }
         self.events.push(Event::AttemptEnded(AttemptEnd {
             id: message_id,
@@ -86,12 +87,12 @@
     fn handle_notice_acknowledged(&mut self, id: MessageId) {
         self.guard.borrow_mut().acknowledge_notice(id);
         let recorded = self.journal.borrow_mut().record_notice_acknowledged(id);
-        self.note_outcome(recorded);
+        self.count_unrecorded_outcome(recorded);
         self.events.push(Event::NoticeAcknowledged { id });
     }
 
-    /// Reports an endpoint list to the controller. Endpoints that are gone, draining or elsewhere get no
-    /// attempt that was decided on before.
+    /// Reports an endpoint list to the controller. Endpoints that were removed, are draining or have moved to
+    /// another address get no more of the attempts that were decided on before.
     pub(super) fn report_endpoints(&mut self, version: u64, update: RegistryUpdate) {
         for endpoint in update.departed {
             self.delivery.drain(endpoint);
--- a/crates/message-sender/src/event_loop/handover.rs
+++ b/crates/message-sender/src/event_loop/handover.rs
@@ -1,4 +1,4 @@
-//! Handing the sender's work over to a successor process, between two turns.
+//! Hands the sender's work over to a successor process, between two turns.
 
 use super::journal_sync::UnrecordedStep;
 use super::{EventLoop, LoopEnd};
@@ -6,13 +6,13 @@
 use crate::handover::{self, HandoverState, HandoverStream, Successor};
 
 impl EventLoop {
-    /// Offers everything to a successor. Returns the connection to it once it is ready to take over; until
-    /// then nothing changes for this process. A successor that can only read the journal gets this process's
-    /// end: it shuts down.
+    /// Offers the sender's state to a successor. Returns the connection to the successor once that is ready
+    /// to take over; until then nothing changes for this process. If the successor can only read the journal,
+    /// this process shuts down instead.
     pub(super) async fn offer(&mut self, successor: Successor) -> Option<HandoverStream> {
         let synchronized = self.journal.borrow_mut().synchronize();
         if let Err(error) = synchronized {
-            // The successor reads the journal: it would take up again what has ended.
+            // The successor reads the journal, and would resume messages whose end is not in the file.
             self.journal_failures.count(UnrecordedStep::Outcome, &error);
             return None;
         }
@@ -32,8 +32,8 @@
         }
     }
 
-    /// What a successor needs beyond the journal; `None` late in a shutdown, when events are not reported to
-    /// the controller any more.
+    /// The state that a successor needs beyond the journal; `None` late in a shutdown, when events are no
+    /// longer reported to the controller.
     fn handover_state(&self) -> Option<HandoverState> {
         if self.shutdown.attempts_have_stopped() {
             return None;
@@ -48,11 +48,11 @@
         })
     }
 
-    /// Makes the successor the sender. The journal is closed before it can be opened there.
+    /// Makes the successor the sender. The journal is closed here before the successor can open it.
     pub(super) async fn hand_over(self, mut stream: HandoverStream) -> LoopEnd {
         let Self { lock, journal, delivery, in_flight, shutdown, .. } = self;
         drop(journal);
-        // Attempts that have not begun to be sent never will be.
+        // Attempts whose requests have not been started are not sent any more.
         delivery.suspend();
         handover::commit(&mut stream, lock).await;
         tracing::info!(in_flight = in_flight.len(), "handed over");
--- a/crates/message-sender/src/event_loop/in_flight.rs
+++ b/crates/message-sender/src/event_loop/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts that are in flight, here or at a predecessor process.
+//! The attempts that are in flight, in this process or in a predecessor process.
 
 use std::collections::HashMap;
 
@@ -25,17 +25,17 @@
         self.cancel_handles.remove(&attempt_id);
     }
 
-    /// How many there are.
+    /// Number of attempts in flight.
     pub fn len(&self) -> usize {
         self.cancel_handles.len()
     }
 
-    /// Whether there are none.
+    /// Whether no attempt is in flight.
     pub fn is_empty(&self) -> bool {
         self.cancel_handles.is_empty()
     }
 
-    /// The attempts, in no order.
+    /// The ids of the attempts, in no particular order.
     pub fn ids(&self) -> Vec<AttemptId> {
         self.cancel_handles.keys().copied().collect()
     }
--- a/crates/message-sender/src/event_loop/inputs.rs
+++ b/crates/message-sender/src/event_loop/inputs.rs
@@ -1,4 +1,4 @@
-//! What a running event loop listens to, and how it takes that in.
+//! The inputs of a running event loop, and how they are received.
 
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
@@ -9,27 +9,28 @@
 use crate::handover::Successor;
 use crate::operator_api::OperatorRequest;
 
-/// What a running event loop listens to.
+/// The channels and connections that a running event loop receives input from.
 pub struct EventLoopInputs<'a> {
-    /// What happens on sockets.
+    /// Events that socket tasks report.
     pub events: &'a mut mpsc::Receiver<SenderEvent>,
-    /// The operators' commands.
+    /// Operator commands.
     pub commands: &'a mut mpsc::Receiver<OperatorRequest>,
     /// Processes that want to become the sender.
     pub successors: &'a mut mpsc::Receiver<Successor>,
-    /// The clients' connections, which may have a request that is still being read.
+    /// The clients' connections; a request may still be arriving on one of them.
     pub limiter: &'a ConnectionLimiter,
 }
 
 impl EventLoopInputs<'_> {
-    /// Whether no client's request is on its way.
-    pub fn are_quiet(&self) -> bool {
+    /// Whether no event is queued and no client's request is pending.
+    pub fn are_idle(&self) -> bool {
         self.events.is_empty() && !self.limiter.has_pending_request()
     }
 }
 
 impl EventLoop {
-    /// Waits until something happens or a turn is due. Returns a successor that has arrived.
+    /// Waits until an input arrives or a turn is due, and handles the input. Returns a successor that has
+    /// connected.
     pub(super) async fn wait_for_input(&mut self, inputs: &mut EventLoopInputs<'_>) -> Option<Successor> {
         tokio::select! {
             Some(request) = inputs.commands.recv() => self.handle_command(request),
@@ -40,16 +41,16 @@
         None
     }
 
-    /// Takes in all commands that wait.
-    pub(super) fn take_in_commands(&mut self, inputs: &mut EventLoopInputs<'_>) {
+    /// Handles all queued commands.
+    pub(super) fn handle_queued_commands(&mut self, inputs: &mut EventLoopInputs<'_>) {
         while let Ok(request) = inputs.commands.try_recv() {
             self.handle_command(request);
         }
     }
 
-    /// Takes in the events that are queued now, and none that arrive meanwhile: a flood would keep the turn
-    /// from coming.
-    pub(super) fn take_in_events(&mut self, inputs: &mut EventLoopInputs<'_>) {
+    /// Handles the events that are queued now, but none that arrive meanwhile: a flood of events would
+    /// otherwise keep delaying the turn.
+    pub(super) fn handle_queued_events(&mut self, inputs: &mut EventLoopInputs<'_>) {
         for _ in 0..inputs.events.len() {
             if let Ok(event) = inputs.events.try_recv() {
                 self.handle_event(event);
--- a/crates/message-sender/src/event_loop/journal_sync.rs
+++ b/crates/message-sender/src/event_loop/journal_sync.rs
@@ -1,4 +1,5 @@
-//! Brings the journal up to date after its folder took no writes for a while, and what waits for that.
+//! Synchronizes the journal's file after its folder could not be written for a while, and holds the notices
+//! that must wait for that.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,23 +12,24 @@
 use crate::journal::JournalError;
 use crate::notice::Notice;
 
-/// How often a journal that cannot be written is tried again.
+/// Time between two tries to write a journal that cannot be written.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Least time between log events on records that could not be written.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What could not be recorded.
+/// A step that could not be recorded in the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UnrecordedStep {
-    /// A message that a client submitted; it was rejected.
+    /// A message that a client submitted; it was not accepted.
     Submission,
-    /// The start of an attempt; it was not made.
+    /// The start of an attempt; the attempt was not made.
     AttemptStart,
-    /// What became of an attempt or a message; recorded later.
+    /// The outcome of an attempt or a message; it is recorded later.
     Outcome,
 }
 
-/// Counts records that could not be written, for a log event a second: there may be hundreds.
+/// Counts records that could not be written and logs the counts once a second at most, since there may be
+/// hundreds of them.
 pub struct JournalFailureLog {
     counts: RefCell<BTreeMap<UnrecordedStep, u32>>,
     last_error: RefCell<String>,
@@ -35,19 +37,19 @@
 }
 
 impl JournalFailureLog {
-    /// Starts with nothing counted.
+    /// Creates a log with no counts.
     pub fn new() -> Self {
         Self { counts: RefCell::default(), last_error: RefCell::default(), logged_at: Cell::new(None) }
     }
 
-    /// Counts a record that was not written, and logs it unless that was done a moment ago.
+    /// Counts a record that was not written, and logs the counts if that is due.
     pub fn count(&self, step: UnrecordedStep, error: &JournalError) {
         *self.counts.borrow_mut().entry(step).or_default() += 1;
         *self.last_error.borrow_mut() = error.to_string();
         self.log_when_due();
     }
 
-    /// Logs what has been counted, if that is due.
+    /// Logs the counts if there are any and the last log event is long enough ago.
     pub fn log_when_due(&self) {
         let is_recent = self.logged_at.get().is_some_and(|at| at.elapsed() < LOG_INTERVAL);
         if is_recent || self.counts.borrow().is_empty() {
@@ -59,54 +61,54 @@
     }
 }
 
-/// A notice that must not be sent before its message's end is in the file: if the process died, the next one
-/// would send the message while its client submits it again. It waits until the message's deadline at most,
-/// after which nobody sends the message.
+/// A notice that must not be sent before its message's end is in the journal's file: if the process died
+/// after that, the next process would send the message while its client submits it again. The notice is held
+/// until the message's deadline at most, after which no process sends the message.
 pub struct HeldNotice {
-    /// The message.
+    /// The message that the notice is about.
     pub id: MessageId,
-    /// Its deadline.
+    /// The message's deadline, on the journal's clock.
     pub deadline: Micros,
-    /// The notice.
+    /// The notice to be sent.
     pub notice: Notice,
 }
 
-/// When the journal was last tried, and the notices that wait for it.
+/// The time of the last try to synchronize the journal, and the notices that wait for it.
 pub struct JournalSync {
     tried_at: Instant,
     held_notices: Vec<HeldNotice>,
 }
 
 impl JournalSync {
-    /// Starts with nothing waiting.
+    /// Starts with no notices held.
     pub fn new() -> Self {
         Self { tried_at: Instant::now(), held_notices: Vec::new() }
     }
 
-    /// Has a notice wait until the journal is up to date.
+    /// Holds a notice until the journal is synchronized or the message's deadline has passed.
     pub fn hold(&mut self, notice: HeldNotice) {
         self.held_notices.push(notice);
     }
 
-    /// How many notices wait.
-    pub fn held(&self) -> usize {
+    /// Number of notices held.
+    pub fn held_count(&self) -> usize {
         self.held_notices.len()
     }
 }
 
 impl EventLoop {
-    /// Whether all that has happened is in the journal's file, and reported.
+    /// Whether all records are in the journal's file and no notice is held.
     pub(super) fn is_journal_synchronized(&self) -> bool {
-        self.journal.borrow().is_synchronized() && self.journal_sync.held() == 0
+        self.journal.borrow().is_synchronized() && self.journal_sync.held_count() == 0
     }
 
-    /// When the journal is to be tried again, if it is not up to date.
+    /// When to try again to synchronize the journal; `None` if there is nothing to synchronize.
     pub(super) fn next_journal_retry(&self) -> Option<Instant> {
         (!self.is_journal_synchronized()).then(|| self.journal_sync.tried_at + RETRY_INTERVAL)
     }
 
-    /// Tries to bring the journal up to date, if it is not and the last time is long enough ago, and sends
-    /// the notices that need wait no longer.
+    /// Tries to synchronize the journal if that is needed and the last try is long enough ago, and queues the
+    /// held notices that need not wait any longer.
     pub(super) fn synchronize_journal(&mut self) {
         self.journal_failures.log_when_due();
         if self.next_journal_retry().is_none_or(|due| due > Instant::now()) {
--- a/crates/message-sender/src/event_loop/mod.rs
+++ b/crates/message-sender/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: the only owner of the controller. It turns what happens on sockets into the controller's
-//! events, and carries out the controller's actions. It decides nothing.
+//! The event loop, the only owner of the controller. It translates socket activity and commands into events
+//! for the controller, and executes the controller's actions. It makes no delivery decisions of its own.
 
 mod attempts;
 mod audit;
@@ -55,40 +55,41 @@
 use crate::operator_api::CommandResult;
 use crate::time::duration;
 
-/// Without any input, a turn is run this often.
+/// Longest time between two turns without any input.
 const IDLE_TURN_INTERVAL: Duration = Duration::from_secs(1);
-/// During a shutdown a turn is run more often, so that the process ends soon after its last work is done.
+/// Longest time between two turns during a shutdown. It is shorter, so that the process ends soon after its
+/// last work is done.
 const SHUTDOWN_TURN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// All that an event loop is made of.
+/// The components and settings of an event loop.
 pub struct EventLoopConfig {
     /// The controller, which has had no turn yet.
     pub controller: Controller,
     /// The controller's settings.
     pub settings: Settings,
-    /// The names for which the settings' indices stand.
+    /// The names that the indices in the settings stand for.
     pub names: Names,
-    /// The right to be the sender.
+    /// The lock whose holder is the sender.
     pub lock: OwnershipLock,
     /// The journal, already replayed.
     pub journal: Journal,
-    /// Makes the attempts.
+    /// The client that sends attempts to endpoints.
     pub delivery: Rc<DeliveryClient>,
-    /// Sends the notices.
+    /// Notices that are to be sent to the platform.
     pub notices: Rc<NoticeQueue>,
     /// Counters and gauges of the process.
     pub metrics: Rc<Metrics>,
-    /// Counts violations of invariants.
+    /// Counts and logs violations of invariants.
     pub invariants: Rc<InvariantMonitor>,
-    /// Where attempts report their end; its receiver is [`EventLoopInputs::events`].
+    /// Channel on which attempts report their end; its receiver is [`EventLoopInputs::events`].
     pub event_sender: mpsc::Sender<SenderEvent>,
 }
 
 /// How an event loop ends.
 pub enum LoopEnd {
-    /// The process is to end.
+    /// The process is to terminate.
     Finished,
-    /// A successor process is the sender; this one still has attempts in flight, and clients.
+    /// A successor process is the sender now. This one still has attempts in flight and connected clients.
     HandedOver(Predecessor),
 }
 
@@ -99,8 +100,8 @@
     settings: Settings,
     names: Names,
     clock: JournalClock,
-    /// Shared with attempts, which write when they begin to be sent; nobody writes once the event loop is
-    /// gone.
+    /// Shared with the attempts, which record here that their requests start. Their references are weak:
+    /// nothing is written once the event loop is dropped.
     journal: Rc<RefCell<Journal>>,
     journal_sync: JournalSync,
     journal_failures: Rc<JournalFailureLog>,
@@ -112,16 +113,16 @@
     timers: Timers,
     next_message_id: MessageId,
     open_messages: OpenMessages,
-    /// Clients that wait for the reply to their submission.
+    /// Replies to submissions, sent in the controller's next turn.
     pending_replies: Vec<PendingReply>,
     in_flight: InFlightAttempts,
-    /// Checks attempts and ends against the rules; shared with attempts, like the journal.
+    /// Checks attempts and ends of messages against the invariants; shared with the attempts.
     guard: Rc<RefCell<AttemptGuard>>,
     invariants: Rc<InvariantMonitor>,
     audits: AuditSchedule,
     registry: EndpointRegistry,
     metrics: Rc<Metrics>,
-    /// Operators whose command takes effect in the controller's next turn.
+    /// Reply channels for operator commands that take effect in the controller's next turn.
     unacknowledged_commands: Vec<oneshot::Sender<CommandResult>>,
     summary: LogSummary,
     last_turn_at: Option<Instant>,
@@ -129,7 +130,7 @@
 }
 
 impl EventLoop {
-    /// Makes an event loop that knows no messages yet. Endpoints that operators have drained stay drained.
+    /// Creates an event loop without open messages. Endpoints that operators have drained remain drained.
     pub fn new(config: EventLoopConfig) -> Self {
         let mut registry = EndpointRegistry::new(config.names.clone(), config.settings.kinds.clone());
         let mut events = Vec::new();
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Runs turns until the process is to end, or a successor is the sender.
+    /// Runs turns until the process is to terminate, or a successor has become the sender.
     pub async fn run(mut self, mut inputs: EventLoopInputs<'_>) -> LoopEnd {
         let mut successor = None;
         self.update_gauges();
@@ -180,9 +181,10 @@
             wake_up = wake_up.max(self.next_turn_at());
             sleep_until(self.next_turn_at()).await;
             self.audits.record_wake_up(wake_up);
-            self.take_in_commands(&mut inputs);
-            self.take_in_events(&mut inputs);
-            // Connections that have ended meanwhile get to withdraw their messages before those are sent.
+            self.handle_queued_commands(&mut inputs);
+            self.handle_queued_events(&mut inputs);
+            // Lets the tasks of closed connections run, so that their messages are withdrawn before the turn
+            // sends them.
             yield_now().await;
             self.last_turn_at = Some(Instant::now());
             self.turn();
@@ -192,7 +194,7 @@
             self.log_summary();
             self.audit();
             successor = successor.or_else(|| inputs.successors.try_recv().ok());
-            if !self.is_between_turns() {
+            if !self.is_ready_for_handover() {
                 continue;
             }
             if let Some(successor) = successor.take() {
@@ -205,27 +207,29 @@
         LoopEnd::Finished
     }
 
-    /// When the last turn is long enough ago for the next one.
+    /// The earliest time of the next turn: one turn interval after the last one.
     fn next_turn_at(&self) -> Instant {
         self.last_turn_at.map_or_else(Instant::now, |at| at + duration(self.settings.turn_interval))
     }
 
-    /// When the next turn is due without any input.
+    /// When the event loop wakes up if no input arrives.
     fn next_wake_up(&self) -> Instant {
         let now = Instant::now();
         let idle = now + IDLE_TURN_INTERVAL;
-        let poll = if self.shutdown.is_requested() { now + SHUTDOWN_TURN_INTERVAL } else { idle };
+        let periodic = if self.shutdown.is_requested() { now + SHUTDOWN_TURN_INTERVAL } else { idle };
         let timer = self.timers.next_due().map_or(idle, |due| self.clock.instant(due));
         let rejections = self.summary.rejections_due().unwrap_or(idle);
         let journal = self.next_journal_retry().unwrap_or(idle);
-        timer.min(poll).min(rejections).min(journal)
+        timer.min(periodic).min(rejections).min(journal)
     }
 
-    /// Whether the process can end: before the deadline only with nothing to do and no request on its way.
+    /// Whether the process can terminate: before the shutdown deadline, only if nothing is left to do and no
+    /// client's request is pending.
     fn is_finished(&self, inputs: &EventLoopInputs<'_>) -> bool {
-        self.shutdown.is_complete(|| self.is_idle() && inputs.are_quiet())
+        self.shutdown.is_complete(|| self.is_idle() && inputs.are_idle())
     }
 
+    /// Whether no message, attempt, notice, journal record or reply is pending.
     fn is_idle(&self) -> bool {
         self.open_messages.is_empty()
             && self.in_flight.is_empty()
@@ -234,8 +238,8 @@
             && self.pending_replies.is_empty()
     }
 
-    /// Whether there is nothing left to report to the controller, so that its state is complete.
-    fn is_between_turns(&self) -> bool {
+    /// Whether the controller's state is complete: no events remain to be reported to it.
+    fn is_ready_for_handover(&self) -> bool {
         self.events.is_empty() || self.shutdown.attempts_have_stopped()
     }
 
@@ -247,7 +251,7 @@
     fn update_gauges(&self) {
         self.metrics
             .in_progress
-            .set(self.open_messages.len() + self.notices.len() + self.journal_sync.held());
+            .set(self.open_messages.len() + self.notices.len() + self.journal_sync.held_count());
         self.metrics.known_endpoints.set(self.registry.listed_count());
         self.metrics.skipped_endpoints.set(self.controller.avoided_endpoint_count());
     }
--- a/crates/message-sender/src/event_loop/open_messages.rs
+++ b/crates/message-sender/src/event_loop/open_messages.rs
@@ -14,23 +14,23 @@
     Recovered,
 }
 
-/// A message that is open: all that an attempt needs, and what the log says of it.
+/// An open message: what its attempts need, and what is logged about it.
 pub struct OpenMessage {
-    /// The id by which its client names it.
+    /// The id that the client gave the message.
     pub call_id: String,
-    /// Index of its class.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// Its idempotency key.
+    /// The idempotency key that is sent with each attempt, if the client gave one.
     pub idempotency_key: Option<String>,
-    /// Where it goes.
+    /// Where it is to be delivered.
     pub destination: DestinationId,
-    /// Its body.
+    /// The body of the message.
     pub body: Bytes,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// When this process accepted or recovered it.
+    /// When this process accepted or recovered it, on the journal's clock.
     pub accepted_at: Micros,
-    /// When it must have ended.
+    /// When it must have ended, on the journal's clock.
     pub deadline: Micros,
     /// How it came to this process.
     pub origin: MessageOrigin,
@@ -57,12 +57,12 @@
         Some(message)
     }
 
-    /// The message of this id, if it is open.
+    /// The message with this id, if it is open.
     pub fn get(&self, id: MessageId) -> Option<&OpenMessage> {
         self.messages.get(&id)
     }
 
-    /// The message of this id, if it is open.
+    /// Mutable access to the message with this id, if it is open.
     pub fn get_mut(&mut self, id: MessageId) -> Option<&mut OpenMessage> {
         self.messages.get_mut(&id)
     }
@@ -72,22 +72,22 @@
         self.messages.contains_key(&id)
     }
 
-    /// The open message that a client knows by this id.
+    /// The id of the open message to which its client gave this call id.
     pub fn find_by_call_id(&self, call_id: &str) -> Option<MessageId> {
         self.ids_by_call_id.get(call_id).copied()
     }
 
-    /// How many there are.
+    /// Number of open messages.
     pub fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// Whether there are none.
+    /// Whether no message is open.
     pub fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// The destination of each message, in the order in which they were accepted.
+    /// The destination of each open message, in the order in which the messages were accepted.
     pub fn destinations(&self) -> impl ExactSizeIterator<Item = DestinationId> + '_ {
         self.messages.values().map(|message| message.destination)
     }
--- a/crates/message-sender/src/event_loop/recovery.rs
+++ b/crates/message-sender/src/event_loop/recovery.rs
@@ -1,8 +1,9 @@
-//! What a process takes over at its start: from the journal, or from the state of a predecessor.
+//! Restores the sender's state when a process starts: from the journal alone, or also from the state that a
+//! predecessor hands over.
 
 use delivery_control::{Event, MessageId, MessageSubmission, SettingsError};
 
-use super::audit::{ambiguous_attempt, first_ambiguous, OpenedMessage};
+use super::audit::{ambiguous_attempt, first_ambiguous, GuardRegistration};
 use super::open_messages::{MessageOrigin, OpenMessage};
 use super::timers::Timers;
 use super::EventLoop;
@@ -14,7 +15,7 @@
 use crate::machine_clock::MachineTime;
 use crate::notice::{Notice, NoticeResult};
 
-/// What the journal contains at the start, for the log.
+/// Number of entries of each kind in the journal at the start, for the log.
 #[derive(Default)]
 struct RecoveryCounts {
     unattempted: usize,
@@ -46,7 +47,8 @@
 }
 
 impl EventLoop {
-    /// Recovers what an earlier process left in the journal, under the endpoint list that was stored last.
+    /// Recovers the open messages and pending notices that an earlier process left in the journal.
+    /// `cached_list` is the endpoint list that was stored last.
     pub fn recover(&mut self, cached_list: Option<EndpointList>) {
         if let Some(list) = cached_list {
             let update = self.registry.load_cached(&list);
@@ -70,8 +72,8 @@
         self.record_clock_reading();
     }
 
-    /// Continues from the state that a predecessor handed over. Returns the predecessor's attempts that are
-    /// in flight, each with the receiver that completes when it is to be cancelled.
+    /// Continues from the state that a predecessor handed over. Returns the attempts that the predecessor has
+    /// in flight, each with a receiver that completes when the attempt is to be cancelled.
     pub fn restore(&mut self, state: HandoverState, seed: u64) -> Result<Vec<RemoteCall>, SettingsError> {
         self.controller = state.controller.restore(self.settings.clone(), seed)?;
         self.registry.restore(state.registry);
@@ -89,7 +91,8 @@
                     let in_flight = state.in_flight.iter().find(|attempt| attempt.message_id == id);
                     self.open_recovered(id, accepted, history, in_flight.copied());
                 }
-                // The predecessor could not write its end: what is not known to have ended goes on.
+                // The message ended at the predecessor, which could not record that. A message that is not
+                // known to have ended is resumed.
                 JournalEntry::Open(accepted, history) => self.recover_message(id, accepted, history),
             }
         }
@@ -102,8 +105,8 @@
         Ok(remote_calls)
     }
 
-    /// No message has longer than its class allows from now on. One that seems to was accepted by a clock
-    /// that has been set back since, and by which nobody can tell how much time has passed.
+    /// Limits the time left to each open message to what its class allows. A message with more time left was
+    /// accepted before the clock was set back, so it is unknown how much time has passed since.
     fn limit_deadlines(&self) {
         let now = self.clock.now();
         let latest: Vec<_> = self
@@ -117,25 +120,26 @@
             .map(|(id, class)| (id, now.saturating_add(self.settings.classes[class].deadline)))
             .collect();
         let recorded = self.journal.borrow_mut().limit_deadlines(latest);
-        self.note_outcome(recorded);
+        self.count_unrecorded_outcome(recorded);
     }
 
-    /// Records what the clocks show, for the next process to go on from.
+    /// Records the present readings of the clocks, from which the next process continues.
     fn record_clock_reading(&self) {
         let Some(machine) = MachineTime::now() else { return };
         let reading = ClockReading { machine, journal_time: self.clock.now() };
         let recorded = self.journal.borrow_mut().record_clock_reading(reading);
-        self.note_outcome(recorded);
+        self.count_unrecorded_outcome(recorded);
     }
 
     fn journal_entries(&self) -> Vec<(MessageId, JournalEntry)> {
         self.journal.borrow().entries().map(|(id, entry)| (id, entry.clone())).collect()
     }
 
-    /// Reports a message that an earlier process accepted to the controller, with the attempts made so far.
+    /// Opens a message that an earlier process accepted, and reports it to the controller with the attempts
+    /// made so far.
     fn recover_message(&mut self, id: MessageId, accepted: AcceptedMessage, history: AttemptHistory) {
         let Some(class) = self.names.class(&accepted.class) else {
-            // The class is not served any more: nobody can say whether another attempt would be harmless.
+            // The class is no longer configured, so it is unknown whether another attempt would be harmless.
             let notice = Notice { call_id: accepted.call_id, result: NoticeResult::Failed };
             self.queue_notice(id, notice, false, accepted.deadline);
             return;
@@ -143,7 +147,8 @@
         self.events.push(Event::MessageSubmitted(MessageSubmission {
             id,
             class,
-            // Its quota was counted when it was accepted, and here the whole backlog comes in one turn.
+            // The message was counted against its tenant's quota when it was accepted. Here the whole backlog
+            // comes in one turn, and must not be counted again.
             tenant: None,
             destination: accepted.destination,
             time_left: accepted.deadline - self.clock.now(),
@@ -158,7 +163,7 @@
         self.open_recovered(id, accepted, history, None);
     }
 
-    /// Opens a message of the journal, with the attempt that a predecessor has in flight.
+    /// Opens a message of the journal. `in_flight` is the attempt that a predecessor has in flight, if any.
     fn open_recovered(
         &mut self,
         id: MessageId,
@@ -171,7 +176,10 @@
             accepted;
         let ended = history.first_ambiguous_ended().map(ambiguous_attempt);
         let first_ambiguous = if in_flight.is_some() { ended } else { first_ambiguous(&history) };
-        self.guard_message(id, OpenedMessage { class, destination, deadline, order_key, first_ambiguous });
+        self.register_with_guard(
+            id,
+            GuardRegistration { class, destination, deadline, order_key, first_ambiguous },
+        );
         if let (Some(attempt), Some(start)) = (in_flight, history.last_started()) {
             self.guard.borrow_mut().resume_attempt(id, attempt.attempt, ambiguous_attempt(start));
         }
--- a/crates/message-sender/src/event_loop/submissions.rs
+++ b/crates/message-sender/src/event_loop/submissions.rs
@@ -1,11 +1,11 @@
-//! Submissions by clients: which are accepted, and the replies.
+//! Accepts or rejects the messages that clients submit, and replies to the clients.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use delivery_control::{Event, MessageId, MessageSubmission, Micros};
 use tokio::sync::oneshot;
 
-use super::audit::OpenedMessage;
+use super::audit::GuardRegistration;
 use super::journal_sync::UnrecordedStep;
 use super::open_messages::{MessageOrigin, OpenMessage};
 use super::summary::RejectionCause;
@@ -15,20 +15,20 @@
 use crate::metrics::MessageOutcome;
 use crate::submission::{Submission, SubmissionReply};
 
-/// Advice to a client whose message can't be buffered, journalled or attempted now, or whose destination is
-/// not known yet.
+/// Retry-After, in microseconds, for a client whose message can't be buffered, journalled or attempted now,
+/// or whose destination is not known yet.
 const UNAVAILABLE_RETRY_AFTER: Micros = 1_000_000;
 
-/// Whether a submission brought its message, or named one that had been accepted before.
+/// Whether a submission opened a message, or repeated one that was open already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionKind {
-    /// It brought the message.
+    /// The submission opened the message.
     New,
-    /// The client submitted the message again, because the reply got lost.
+    /// The client submitted the open message again, because the reply was lost.
     Duplicate,
 }
 
-/// A client that waits for the reply to its submission.
+/// The reply that a client waits for after its submission.
 pub struct PendingReply {
     message_id: MessageId,
     kind: SubmissionKind,
@@ -36,13 +36,15 @@
 }
 
 impl EventLoop {
-    /// Accepts a message, subject to the controller's next turn, or rejects it at once.
+    /// Handles a submission. Its message is rejected at once, or accepted unless the controller rejects it in
+    /// its next turn. A message that is open already, or that was delivered or failed lately, is not accepted
+    /// again.
     pub(super) fn handle_submission(
         &mut self,
         submission: Submission,
         reply: oneshot::Sender<SubmissionReply>,
     ) {
-        // The client is gone.
+        // The client has disconnected.
         if reply.is_closed() {
             return;
         }
@@ -51,8 +53,8 @@
             return;
         }
         if self.journal.borrow().has_recently_ended(&submission.call_id) {
-            tracing::debug!(call_id = submission.call_id, "submitted again after its end");
-            // A client that is gone needs no reply.
+            tracing::debug!(call_id = submission.call_id, "message submitted again after its end");
+            // A client that has disconnected needs no reply.
             let _ = reply.send(SubmissionReply::Accepted);
             return;
         }
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Stores a message in the journal under a new id, if it can be accepted.
+    /// Stores a message in the journal under a new id, if the message can be accepted. Returns the id.
     fn admit(&mut self, now: Micros, submission: &Submission) -> Result<MessageId, RejectionCause> {
         self.check_admissible(submission)?;
         let id = self.next_message_id;
@@ -75,10 +77,11 @@
         Ok(id)
     }
 
-    /// Whether a message can be accepted, as far as the event loop can tell without the controller.
+    /// Checks whether a message can be accepted, as far as the event loop can tell without the controller.
     fn check_admissible(&self, submission: &Submission) -> Result<(), RejectionCause> {
         if self.shutdown.attempts_have_stopped() {
-            // Only the next process could attempt it, some seconds from now: other senders are sooner.
+            // Only the next process could attempt the message, some seconds from now. Another sender can do
+            // so sooner.
             return Err(RejectionCause::ShuttingDown);
         }
         match self.registry.destination_status(submission.destination) {
@@ -86,7 +89,7 @@
             DestinationStatus::Unknown => return Err(RejectionCause::UnknownDestination),
             DestinationStatus::Undetermined => return Err(RejectionCause::UndeterminedDestination),
         }
-        if self.open_messages.len() + self.notices.len() + self.journal_sync.held()
+        if self.open_messages.len() + self.notices.len() + self.journal_sync.held_count()
             >= self.settings.limits.buffer_capacity
         {
             return Err(RejectionCause::BufferFull);
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Reports a message to the controller and keeps what attempts need of it.
+    /// Opens a message: reports it to the controller and stores what its attempts need.
     fn open_submission(&mut self, now: Micros, id: MessageId, submission: Submission) {
         tracing::debug!(
             message_id = id,
@@ -129,9 +132,9 @@
             time_left_us = submission.time_left,
             "message submitted"
         );
-        self.guard_message(
+        self.register_with_guard(
             id,
-            OpenedMessage {
+            GuardRegistration {
                 class: submission.class,
                 destination: submission.destination,
                 deadline: now.saturating_add(submission.time_left),
@@ -145,7 +148,7 @@
             tenant: submission.tenant,
             destination: submission.destination,
             time_left: submission.time_left,
-            // The protocol carries neither the expected work nor the kind of effect.
+            // The client protocol states neither the expected work nor whether the message is a write.
             work: None,
             order_key: submission.order_key,
             returned: submission.returned,
@@ -185,12 +188,12 @@
                 SubmissionReply::Rejected(UNAVAILABLE_RETRY_AFTER)
             }
         };
-        // A client that is gone needs no reply.
+        // A client that has disconnected needs no reply.
         let _ = reply.send(answer);
     }
 
-    /// Replies to the clients that wait. A message that the controller rejects in its first turn was never
-    /// accepted; one whose clients are all gone is withdrawn.
+    /// Replies to all waiting clients. A message that the controller rejects in its first turn was never
+    /// accepted. A new message whose clients have all disconnected is withdrawn.
     pub(super) fn send_replies(&mut self, rejections: &BTreeMap<MessageId, Micros>) {
         let mut abandoned = BTreeSet::new();
         let mut replied = BTreeSet::new();
@@ -210,7 +213,7 @@
                 Err(_) => {}
             }
             if rejection.is_some() {
-                self.count_given_up(message_id, MessageOutcome::Rejected);
+                self.count_undelivered(message_id, MessageOutcome::Rejected);
                 self.end_without_notice(message_id, Some(MessageOutcome::Rejected));
             }
         }
--- a/crates/message-sender/src/event_loop/summary.rs
+++ b/crates/message-sender/src/event_loop/summary.rs
@@ -1,5 +1,5 @@
-//! The periodic summary in the log: what the sender accepted, how its attempts ended, and what became of
-//! messages that were not delivered, by cause and destination.
+//! Periodic summaries in the log: accepted messages, outcomes of attempts, and messages that were not
+//! delivered, by cause and destination.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,12 +10,13 @@
 
 use crate::delivery::AttemptResult;
 
-/// Rejections are logged this often at most: a sender in trouble rejects hundreds of messages a second.
-const REJECTION_INTERVAL: Duration = Duration::from_secs(1);
-/// Traffic is logged this often at most.
-const TRAFFIC_INTERVAL: Duration = Duration::from_secs(5);
-/// Destinations that the traffic summary names: those whose attempts were longest in flight.
-const MAX_DESTINATIONS: usize = 12;
+/// Least time between two summaries of rejections. An overloaded sender rejects hundreds of messages a
+/// second.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Least time between two summaries of traffic.
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Most destinations in a traffic summary, which lists those whose attempts were in flight longest.
+const MAX_LOGGED_DESTINATIONS: usize = 12;
 
 const MICROS_PER_MILLI: Micros = 1000;
 
@@ -24,44 +25,44 @@
 pub enum RejectionCause {
     /// The buffer is full.
     BufferFull,
-    /// The journal has no room for it.
+    /// The journal has no space left for the message.
     JournalFull,
     /// The journal could not be written.
     JournalUnavailable,
-    /// The journal may hold it although its write failed.
+    /// Writing the message to the journal failed, but the journal may hold it all the same.
     JournalUncertain,
-    /// No complete endpoint list has arrived that tells whether its destination exists.
+    /// No complete endpoint list has arrived yet, so it is unknown whether the destination exists.
     UndeterminedDestination,
     /// The endpoint list has no such destination.
     UnknownDestination,
-    /// The process is about to end, and could make no attempt any more.
+    /// The process is shutting down and starts no more attempts.
     ShuttingDown,
-    /// The controller rejected it before any attempt.
+    /// The controller rejected the message before any attempt.
     RejectedUnattempted,
-    /// The controller rejected it before any attempt; an earlier process had accepted it.
+    /// The controller rejected the message before any attempt; an earlier process had accepted it.
     RecoveredUnattempted,
-    /// The controller rejected it after attempts that had no effect, or that may be repeated.
+    /// The controller rejected the message after attempts that had no effect or that may be repeated.
     RejectedAttempted,
-    /// The controller gave it up after an attempt that may have taken effect.
+    /// The controller gave the message up after an attempt that may have taken effect.
     Failed,
 }
 
 impl RejectionCause {
-    /// Whether destinations are counted one by one. Clients may name any number of destinations that do not
-    /// exist: those are counted together.
+    /// Whether messages are counted for each destination separately. Clients may name any number of
+    /// destinations that do not exist, so messages for those are counted together.
     fn is_counted_by_destination(self) -> bool {
         !matches!(self, Self::UndeterminedDestination | Self::UnknownDestination)
     }
 }
 
-/// Undelivered messages of one cause since the last summary.
+/// Messages not delivered for one cause since the last summary.
 #[derive(Debug, Default)]
 struct RejectionCounts {
     messages: u32,
     by_destination: BTreeMap<DestinationId, u32>,
 }
 
-/// Time from a message's acceptance to its first attempt.
+/// Statistics of the time from a message's acceptance to its first attempt, in microseconds.
 #[derive(Debug, Default, Clone, Copy)]
 struct FirstAttemptDelay {
     count: u32,
@@ -85,13 +86,13 @@
     }
 }
 
-/// What passed through the controller since the last summary.
+/// Messages and attempts reported to the controller since the last summary.
 #[derive(Debug, Default)]
 struct Traffic {
     accepted: u32,
-    /// Of those, the ones with an order key.
+    /// Accepted messages with an order key.
     ordered: u32,
-    /// Of those, the ones with a tenant.
+    /// Accepted messages with a tenant.
     with_tenant: u32,
     first_attempt_delay: FirstAttemptDelay,
     outcomes: BTreeMap<AttemptOutcome, u32>,
@@ -103,30 +104,30 @@
         self.accepted == 0 && self.outcomes.is_empty()
     }
 
-    /// The destinations whose attempts were longest in flight, in falling order.
+    /// The destinations whose attempts were in flight longest, in descending order of that time.
     fn busiest_destinations(self) -> Vec<(DestinationId, DestinationTraffic)> {
         let mut destinations: Vec<_> = self.by_destination.into_iter().collect();
         destinations.sort_by_key(|(_, traffic)| Reverse(traffic.in_flight_time));
-        destinations.truncate(MAX_DESTINATIONS);
+        destinations.truncate(MAX_LOGGED_DESTINATIONS);
         destinations
     }
 }
 
-/// Attempts to one destination that ended since the last summary.
+/// Counts of one destination: its attempts that ended since the last summary, and its state at present.
 #[derive(Debug, Default, Clone, Copy)]
 struct DestinationTraffic {
     delivered: u32,
     rejected: u32,
-    /// Of the rejected, the ones with a Retry-After.
+    /// Rejected attempts with a Retry-After.
     with_retry_after: u32,
     failed: u32,
-    /// For how long they were in flight, added up.
+    /// Total time that the attempts were in flight, in microseconds.
     in_flight_time: Micros,
-    /// Messages that are buffered for it now.
+    /// Messages that are buffered for the destination at present.
     buffered: u32,
-    /// The latest load report: the fraction of the rate limit that is left.
+    /// Fraction of the rate limit that is left, by the latest load report.
     limit_remaining: Option<f64>,
-    /// The latest load report: the rate limit in calls per second.
+    /// The rate limit in calls per second, by the latest load report.
     limit: Option<f64>,
 }
 
@@ -164,7 +165,7 @@
     }
 }
 
-/// Counts for the log since the last summary.
+/// Counts messages and attempts, and logs the counts periodically.
 pub struct LogSummary {
     rejections: BTreeMap<RejectionCause, RejectionCounts>,
     rejections_logged_at: Instant,
@@ -173,7 +174,7 @@
 }
 
 impl LogSummary {
-    /// Starts with nothing counted.
+    /// Creates a summary with no counts.
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
@@ -199,12 +200,12 @@
         }
     }
 
-    /// Counts a message's first attempt, made so long after the message was accepted.
+    /// Counts a message's first attempt. `delay` is the time since the message was accepted.
     pub fn record_first_attempt(&mut self, delay: Micros) {
         self.traffic.first_attempt_delay.record(delay);
     }
 
-    /// Counts an attempt that ended, and the time for which it was in flight.
+    /// Counts an attempt that ended. `elapsed` is the time for which it was in flight.
     pub fn record_attempt_end(
         &mut self,
         destination: DestinationId,
@@ -223,15 +224,15 @@
         }
     }
 
-    /// When rejections are to be logged next, if there are any.
+    /// When the next summary of rejections is due; `None` if there are no rejections.
     pub fn rejections_due(&self) -> Option<Instant> {
         if self.rejections.is_empty() {
             return None;
         }
-        Some(self.rejections_logged_at + REJECTION_INTERVAL)
+        Some(self.rejections_logged_at + REJECTION_LOG_INTERVAL)
     }
 
-    /// Logs an event for each cause of rejections, if they are due.
+    /// Logs the rejections if they are due, with a log event for each cause.
     pub fn log_rejections(&mut self) {
         if self.rejections_due().is_none_or(|due| due > Instant::now()) {
             return;
@@ -243,14 +244,14 @@
         }
     }
 
-    /// Logs the traffic, if there was any and it is due: an event for all of it, then one for each of the
-    /// busiest destinations.
+    /// Logs the traffic if there was any and a summary is due: a log event for the total, then one for each
+    /// of the busiest destinations. `buffered_for` gives the destination of each buffered message.
     pub fn log_traffic(
         &mut self,
         buffered_for: impl ExactSizeIterator<Item = DestinationId>,
         in_flight: usize,
     ) {
-        if self.traffic.is_empty() || self.traffic_logged_at.elapsed() < TRAFFIC_INTERVAL {
+        if self.traffic.is_empty() || self.traffic_logged_at.elapsed() < TRAFFIC_LOG_INTERVAL {
             return;
         }
         self.traffic_logged_at = Instant::now();
--- a/crates/message-sender/src/event_loop/timers.rs
+++ b/crates/message-sender/src/event_loop/timers.rs
@@ -4,7 +4,7 @@
 
 use delivery_control::Micros;
 
-/// Pending timers, by the time at which they are due. Setting the same timer twice has no effect.
+/// Pending timers, ordered by the time at which they are due. Setting the same timer twice has no effect.
 #[derive(Default)]
 pub struct Timers {
     pending: BTreeSet<(Micros, u64)>,
@@ -16,17 +16,17 @@
         Self { pending: entries.into_iter().collect() }
     }
 
-    /// Sets a timer; the token comes back when it fires.
+    /// Sets a timer for a time on the journal's clock. The token is reported when the timer fires.
     pub fn set(&mut self, at: Micros, token: u64) {
         self.pending.insert((at, token));
     }
 
-    /// When the first timer is due.
+    /// When the next timer is due, if there is one.
     pub fn next_due(&self) -> Option<Micros> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Removes the first timer that is due by now, and returns its token.
+    /// Removes the next timer if it is due at `now`, and returns its token.
     pub fn pop_due(&mut self, now: Micros) -> Option<u64> {
         if self.next_due()? > now {
             return None;
@@ -34,7 +34,7 @@
         self.pending.pop_first().map(|(_, token)| token)
     }
 
-    /// All timers in the form in which they are handed over: when each is due, and its token.
+    /// All timers in the form in which they are handed over: for each, when it is due and its token.
     pub fn entries(&self) -> Vec<(Micros, u64)> {
         self.pending.iter().copied().collect()
     }
--- a/crates/message-sender/src/event_loop/turn.rs
+++ b/crates/message-sender/src/event_loop/turn.rs
@@ -1,4 +1,4 @@
-//! A turn of the controller: it takes in the events, and its actions are carried out.
+//! Runs a turn of the controller: reports the events to it and executes its actions.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::notice::NoticeResult;
 
 impl EventLoop {
-    /// Runs a turn of the controller. Clients hear that their message was accepted or rejected before any
-    /// action is carried out: a client that is gone has withdrawn its message by then.
+    /// Runs a turn of the controller. Clients are told whether their message was accepted before any action
+    /// is executed, so that messages whose clients have disconnected are withdrawn by then.
     pub(super) fn turn(&mut self) {
         let now = self.clock.now();
         if self.shutdown.attempts_have_stopped() {
@@ -47,14 +47,15 @@
             Action::SetTimer { at, token } => self.timers.set(at, token),
             Action::CloseIdle { endpoint } => self.delivery.close_idle(endpoint),
             Action::ReportBacklog(report) => log_backlog(&report),
-            // The watch runs all the time; endpoints are not probed, and senders exchange no notes.
+            // Not supported here: discovery is watched all the time, endpoints are not probed, and senders
+            // exchange no notes.
             Action::Subscribe { .. } | Action::FetchList | Action::Probe { .. } | Action::SendNote { .. } => {
             }
         }
     }
 }
 
-/// The messages that a turn rejects, each with its Retry-After.
+/// The messages that a turn rejects, each with its Retry-After in microseconds.
 fn rejections(actions: &[Action]) -> BTreeMap<MessageId, Micros> {
     let mut rejections = BTreeMap::new();
     for action in actions {
