--- a/crates/message-sender/src/event_loop/tests.rs
+++ b/crates/message-sender/src/event_loop/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the event loop's parts; the whole is tested with sockets in the crate's `tests`.
+//! Tests of the event loop's components. The event loop itself is tested over sockets in the crate's `tests`.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -21,7 +21,7 @@
 use crate::journal::ClockReading;
 use crate::machine_clock::MachineTime;
 
-/// The log of the present test's thread.
+/// Captures what is logged on the current test's thread.
 #[derive(Clone, Default)]
 struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
@@ -68,7 +68,8 @@
     }
 }
 
-/// Guards against time that goes back, or leaps, when a process continues another's work.
+/// Guards against a controller's time that goes back or jumps ahead at a handover, because the clocks of the
+/// two processes differ.
 #[tokio::test(start_paused = true)]
 async fn a_restored_clock_follows_the_predecessor_only_where_the_two_disagree() {
     let mut clock = JournalClock::start();
@@ -82,7 +83,7 @@
     assert_eq!(clock.now(), now - 2_000_000);
 }
 
-/// Guards against deadlines that move with the system's time from one process to the next.
+/// Guards against deadlines that shift at a restart, because the system's time was set meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_clock_goes_on_from_the_last_reading_of_the_same_boot() {
     let machine = |boot_id: &str, monotonic| MachineTime { boot_id: boot_id.to_owned(), monotonic };
@@ -101,8 +102,10 @@
     }
 }
 
+/// Guards against timers and deadlines that are due at the wrong instant, because the clock does not run with
+/// the runtime's time.
 #[tokio::test(start_paused = true)]
-async fn a_clock_advances_with_monotonic_time_and_names_instants() {
+async fn a_clock_advances_with_monotonic_time_and_converts_times_to_instants() {
     let clock = JournalClock::start();
     let (now, instant) = (clock.now(), Instant::now());
     advance(Duration::from_micros(7)).await;
@@ -110,6 +113,7 @@
     assert_eq!(clock.instant(now + 12), instant + Duration::from_micros(12));
 }
 
+/// Guards against timers that fire early, twice or never, after a handover or because they are set again.
 #[test]
 fn timers_fire_in_order_once_they_are_due_and_only_once() {
     let mut timers = Timers::restore(vec![(30, 1), (10, 2)]);
@@ -123,7 +127,8 @@
     assert_eq!(timers.entries(), [(30, 1)]);
 }
 
-/// Guards against attempts that go on although the controller cancelled them.
+/// Guards against attempts that continue although the controller cancelled them, because their handle is
+/// kept.
 #[test]
 fn removing_an_attempt_cancels_it_and_no_other() {
     let mut in_flight = InFlightAttempts::default();
@@ -137,7 +142,8 @@
     assert_eq!(second.try_recv(), Err(TryRecvError::Closed));
 }
 
-/// Guards against a message that is accepted twice, and against an id that is taken for good.
+/// Guards against accepting a message twice when its client submits it again, and against a call id that
+/// stays taken after its message has ended.
 #[test]
 fn an_open_message_is_found_by_the_id_that_its_client_gave() {
     let mut messages = OpenMessages::default();
@@ -151,8 +157,8 @@
     assert_eq!((messages.len(), messages.contains(4)), (1, true));
 }
 
-/// Guards against a process that outstays SIGTERM until SIGKILL, and against one that leaves before its
-/// clients know.
+/// Guards against a process that is still running when SIGKILL follows SIGTERM, and against one that ends
+/// while load balancers still send it connections.
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_ends_when_idle_and_at_its_deadline() {
     let mut shutdown = Shutdown::default();
@@ -161,7 +167,7 @@
     let requested_at = shutdown.requested_at();
     assert!(!shutdown.is_complete(|| true));
     advance(Duration::from_millis(1_000)).await;
-    // A second request changes nothing.
+    // A second request has no effect.
     shutdown.request();
     assert_eq!(shutdown.requested_at(), requested_at);
     assert!(shutdown.is_complete(|| true) && !shutdown.is_complete(|| false));
@@ -175,7 +181,8 @@
     assert!(shutdown.is_complete(|| false));
 }
 
-/// Guards against a flood of log lines from a sender in trouble.
+/// Guards against a flood of log lines from a sender that rejects hundreds of messages a second, and against
+/// counts for each nonexistent destination that clients name.
 #[tokio::test(start_paused = true)]
 async fn rejections_are_logged_by_cause_once_a_second_at_most() {
     let (log, _guard) = CapturedLog::start();
@@ -199,13 +206,15 @@
     assert_eq!(log.lines(), expected);
 }
 
+/// Guards against a summary that grows with the number of destinations or is logged too often, and against
+/// wrong counts in it.
 #[tokio::test(start_paused = true)]
 async fn traffic_is_logged_every_five_seconds_at_most_with_the_busiest_destinations() {
     let (log, _guard) = CapturedLog::start();
     let mut summary = LogSummary::new();
     advance(Duration::from_secs(5)).await;
     summary.log_traffic(std::iter::empty(), 0);
-    assert!(log.lines().is_empty(), "nothing without traffic");
+    assert!(log.lines().is_empty(), "nothing is logged without traffic");
     summary.record_event(&delivery_control::Event::AttemptEnded(delivery_control::AttemptEnd {
         id: 1,
         attempt: 0,
@@ -231,7 +240,7 @@
     summary.record_attempt_end(18, 0, &AttemptOutcome::Cancelled.into());
     summary.log_traffic([18, 18, 3].into_iter(), 2);
     let lines = log.lines();
-    assert_eq!(lines.len(), 13, "all of it, and twelve destinations");
+    assert_eq!(lines.len(), 13, "one line for the total and twelve for destinations");
     assert_eq!(
         lines[..3],
         [
@@ -246,5 +255,5 @@
     assert!(lines[12].starts_with("INFO destination traffic destination=8 "), "{}", lines[12]);
     summary.record_attempt_end(1, 0, &AttemptOutcome::Delivered.into());
     summary.log_traffic(std::iter::empty(), 0);
-    assert_eq!(log.lines().len(), 13, "not again so soon");
+    assert_eq!(log.lines().len(), 13, "nothing is logged before the interval has passed");
 }
