--- a/crates/message-sender/src/journal/compaction.rs
+++ b/crates/message-sender/src/journal/compaction.rs
@@ -1,4 +1,4 @@
-//! The shortest journal that a state can be replayed from.
+//! Encodes the current state as a journal without obsolete records.
 
 use delivery_control::MessageId;
 
@@ -7,8 +7,8 @@
 use super::record::Record;
 use super::state::{JournalEntry, JournalState};
 
-/// Encodes the records that add up to this state.
-/// Of the messages that ended lately, as many are kept as take this many bytes.
+/// Encodes the records from which this state is replayed. Of the recently ended messages, keeps as many of
+/// the newest as fit into `recently_ended_bytes`.
 pub(super) fn encode_snapshot(
     state: &JournalState,
     recently_ended_bytes: u64,
@@ -23,7 +23,7 @@
     for (id, entry) in state.entries() {
         encode_entry(id, entry, &mut bytes)?;
     }
-    let recently_ended = state.recently_ended().last(recently_ended_bytes);
+    let recently_ended = state.recently_ended().newest_within(recently_ended_bytes);
     if !recently_ended.is_empty() {
         bytes.extend(encode(&Record::RecentlyEnded(recently_ended))?);
     }
--- a/crates/message-sender/src/journal/compatibility_tests.rs
+++ b/crates/message-sender/src/journal/compatibility_tests.rs
@@ -1,5 +1,5 @@
-//! Journals of an earlier version, and what this one makes of them; `tests/data/journal/README.md` describes
-//! them.
+//! Tests that this version reads journals of an earlier version and writes the same bytes.
+//! `tests/data/journal/README.md` describes these journals.
 
 use std::fs;
 
@@ -15,12 +15,14 @@
 const APPENDED: &[u8] = include_bytes!("../../tests/data/journal/appended.bin");
 const COMPACTED: &[u8] = include_bytes!("../../tests/data/journal/compacted.bin");
 
+/// Disk space for the journal in bytes, more than any of these tests needs.
 const DISK_BYTES: u64 = 3_000_000;
+/// Deadline of all messages: 2100-01-01 in microseconds of Unix time.
 const DEADLINE: Micros = 4_102_444_800_000_000;
-/// Attempts are dated from here.
+/// Base of the attempts' send times, in microseconds of Unix time.
 const SENT_AT: Micros = 1_700_000_000_000_000;
 
-/// Message `mN` for N = `id`.
+/// The message `mN`, with N = `id`.
 fn message(id: MessageId, order_key: Option<&str>) -> AcceptedMessage {
     AcceptedMessage {
         call_id: format!("m{id}"),
@@ -33,11 +35,13 @@
     }
 }
 
+/// The body of `m2`.
 fn long_body() -> Body {
     let numbers = (0..=255).chain(0..=43);
     Body(numbers.collect())
 }
 
+/// An attempt that was sent `offset` microseconds after [`SENT_AT`].
 fn attempt(offset: Micros, zone: u64) -> AttemptStart {
     AttemptStart { sent_at: SENT_AT + offset, zone }
 }
@@ -50,7 +54,7 @@
     (id, JournalEntry::Open(message, history))
 }
 
-/// What both journals hold.
+/// The entries that both journals hold.
 fn expected_entries() -> Vec<(MessageId, JournalEntry)> {
     let unattempted = AttemptHistory::default();
     let unprocessed = AttemptHistory { attempts: 1, ambiguous: None, in_flight: None };
@@ -100,7 +104,7 @@
     assert_eq!(fs::read(&path).unwrap(), bytes, "the file stays as it is");
 }
 
-/// Records the messages that are still open in the end.
+/// Records the messages with ids 1 to 7, which stay open, with their attempts.
 fn record_open_messages(journal: &mut Journal) {
     let first = AcceptedMessageV1 {
         call_id: "m1".to_owned(),
@@ -129,7 +133,7 @@
     journal.record_attempt(7, attempt(70, 0)).unwrap();
 }
 
-/// Records messages that end, with and without a notice.
+/// Records messages with ids 8 to 12, which end with and without a notice.
 fn record_ended_messages(journal: &mut Journal) {
     journal.record_accepted(8, message(8, None)).unwrap();
     journal.record_attempt(8, attempt(8, 0)).unwrap();
@@ -151,8 +155,8 @@
     journal.record_notice_acknowledged(12).unwrap();
 }
 
-/// Records messages that were never attempted, one that was delivered, and what operators did.
-fn record_the_rest(journal: &mut Journal) {
+/// Records messages that are never attempted, one that is delivered, and endpoints drained and restored.
+fn record_unattempted_messages_and_drains(journal: &mut Journal) {
     journal.record_accepted(13, message(13, Some("vault"))).unwrap();
     journal.record_accepted(14, empty_message()).unwrap();
     journal.record_accepted(15, message_of_unknown_class()).unwrap();
@@ -166,17 +170,21 @@
     journal.record_drained("s-4").unwrap();
 }
 
+/// Guards against an upgrade that loses messages, attempts or drained endpoints because this version no
+/// longer reads a record of the earlier one.
 #[test]
 fn an_appended_journal_of_the_earlier_version_is_replayed() {
     assert_replays_as_expected(APPENDED);
 }
 
+/// Guards against the same loss where the record is one that only a compaction writes.
 #[test]
 fn a_compacted_journal_of_the_earlier_version_is_replayed() {
     assert_replays_as_expected(COMPACTED);
 }
 
-/// The earlier version can read what this one writes: after a downgrade nothing is lost.
+/// Guards against a downgrade that loses messages because the earlier version cannot read this one's records.
+/// It can read them if both versions write the same bytes.
 #[test]
 fn the_same_operations_write_the_same_bytes_as_the_earlier_version() {
     let folder = tempfile::tempdir().unwrap();
@@ -184,12 +192,13 @@
     let mut journal = Journal::open(folder.path(), DISK_BYTES).unwrap();
     record_open_messages(&mut journal);
     record_ended_messages(&mut journal);
-    record_the_rest(&mut journal);
+    record_unattempted_messages_and_drains(&mut journal);
     assert_eq!(fs::read(&path).unwrap(), APPENDED);
     journal.compact().unwrap();
     assert_eq!(fs::read(&path).unwrap(), compacted_by_this_version());
 }
 
+/// Guards against a compaction after an upgrade that changes or drops what the earlier version recorded.
 #[test]
 fn compacting_the_earlier_versions_journal_writes_its_bytes() {
     let folder = tempfile::tempdir().unwrap();
@@ -199,15 +208,15 @@
     assert_eq!(fs::read(&path).unwrap(), compacted_by_this_version());
 }
 
-/// What the earlier version wrote, and behind it one record that it skips: the messages that were delivered
-/// or failed.
+/// The earlier version's compacted journal, followed by one record that the earlier version skips: the call
+/// ids of the messages that were delivered or failed.
 fn compacted_by_this_version() -> Vec<u8> {
     let ended = ["m8", "m10", "m12", "m17"].map(str::to_owned).to_vec();
     [COMPACTED, &encode(&Record::RecentlyEnded(ended)).unwrap()].concat()
 }
 
-/// Position of a record's variant in the stored form. Without a wildcard, so that a new variant asks for a
-/// place here.
+/// Position of a record's variant in the stored form. The match has no wildcard, so that a new variant does
+/// not compile until its position is added here.
 fn position(record: &Record) -> usize {
     match record {
         Record::HighestUsedId(..) => 0,
@@ -227,7 +236,8 @@
     }
 }
 
-/// The two journals leave no kind of record untested that the earlier version knew.
+/// Guards against a gap in these tests: the two journals must contain every kind of record that the earlier
+/// version knew.
 #[test]
 fn the_journals_of_the_earlier_version_hold_every_kind_of_record() {
     let mut found = [false; 14];
--- a/crates/message-sender/src/journal/error.rs
+++ b/crates/message-sender/src/journal/error.rs
@@ -1,32 +1,31 @@
-//! What can go wrong with the journal.
+//! Errors of the journal.
 //!
-//! Messages hold their causes, since most of these errors are logged alone; so causes are not sources too,
-//! which would show them twice where a chain of errors is printed.
+//! Each error's message includes its cause, because most of these errors are logged without their sources.
+//! Causes are therefore not sources (`Error::source`): a printed chain of errors would show them twice.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use crate::transient::{is_transient, MayBeTransient};
 
-/// Why the journal could not be opened, or a record not be written.
+/// Why the journal could not be opened or a record could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The record does not fit into the space that is granted to records of its kind, or their number has
-    /// reached its bound.
+    /// The record does not fit into the space for records of its kind, or their number has reached its limit.
     #[error("journal is full")]
     Full,
-    /// The file system refused an operation.
+    /// A file system operation failed.
     #[error("journal file {path} cannot be accessed: {cause}")]
     Io {
-        /// The file or folder.
+        /// The file or folder that the operation was for.
         path: PathBuf,
-        /// The reason.
+        /// The error that the operating system reported.
         cause: io::Error,
     },
-    /// A write failed, and what it has written cannot be cut off yet: the next process may find the record.
-    #[error("journal record may have been written although that was reported as failed")]
+    /// A write failed and what it wrote could not be truncated yet, so the next process may find the record.
+    #[error("journal write failed, but the record may have been stored")]
     Uncertain,
-    /// A record has no stored form.
+    /// The record could not be serialized.
     #[error("journal record cannot be encoded: {0}")]
     Encoding(postcard::Error),
 }
@@ -38,7 +37,7 @@
 }
 
 impl JournalError {
-    /// Names the file or folder that an operation failed on.
+    /// Creates the error of an operation that failed on this file or folder.
     pub(super) fn io(path: &Path, cause: io::Error) -> Self {
         Self::Io { path: path.to_owned(), cause }
     }
--- a/crates/message-sender/src/journal/frame.rs
+++ b/crates/message-sender/src/journal/frame.rs
@@ -1,17 +1,18 @@
-//! The frame of a record in the file: its length and checksum, four bytes each in little-endian order, and
-//! the record.
+//! Encoding and decoding of a record's frame in the file: the length and the CRC-32 checksum of the encoded
+//! record, four bytes each in little-endian order, followed by the record.
 
 use super::error::JournalError;
 use super::record::Record;
 
-/// Bytes before the record: its length and its CRC-32.
+/// Length of a frame's header in bytes: the record's length and its CRC-32.
 const HEADER_BYTES: usize = 8;
-/// Where the checksum begins in the header.
+/// Offset of the checksum in the header, in bytes.
 const CHECKSUM_OFFSET: usize = 4;
-/// No record is longer: a body of 64 KiB and its headers. A larger length is not one that was written.
+/// Maximum length of an encoded record in bytes: enough for a body of 64 KiB and its headers. A larger length
+/// in a frame's header was not written by a sender and shows that the frame is damaged.
 const MAX_RECORD_BYTES: usize = 128 * 1024;
 
-/// Encodes a record and frames it.
+/// Encodes a record as a frame.
 pub(super) fn encode(record: &Record) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_stdvec(record).map_err(JournalError::Encoding)?;
     let length = u32::try_from(payload.len()).map_err(|_| JournalError::Full)?;
@@ -22,48 +23,50 @@
     Ok(frame)
 }
 
-/// A complete frame, or a damaged place before one, as read.
+/// A complete frame as read from the file, or a damaged section before one.
 pub(super) struct Frame {
-    /// Where it begins in the file.
+    /// Offset in the file at which it begins, in bytes.
     pub(super) offset: usize,
-    /// Its record, or what is wrong with it.
+    /// The decoded record, or why there is none.
     pub(super) record: Result<Record, FrameError>,
 }
 
-/// Why a complete frame holds no record.
+/// Why no record could be read at a place in the file.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FrameError {
-    /// The length is none that was written, or a part of the frame is missing.
-    #[error("frame is torn")]
+    /// The length is over the maximum, or the frame would reach beyond the end of the file.
+    #[error("frame length is invalid")]
     Length,
-    /// The bytes are not those that were written.
+    /// The record's bytes differ from those that were written.
     #[error("checksum does not match")]
     Checksum,
-    /// The bytes are as written, but not a record that this version knows.
+    /// The bytes are as written, but this version knows no such record.
     #[error("record cannot be decoded: {0}")]
     Decoding(#[from] postcard::Error),
 }
 
-/// Reads frames one after the other, up to a last one that is incomplete. A damaged place does not end the
-/// reading: it goes on with the next sound frame.
+/// Iterates over the frames of a file, up to an incomplete last one. After a damaged section, reading resumes
+/// at the next valid frame.
 pub(super) struct FrameReader<'a> {
+    /// The file's contents.
     bytes: &'a [u8],
+    /// Offset at which the last item ends, in bytes.
     offset: usize,
 }
 
 impl<'a> FrameReader<'a> {
-    /// A reader of the file's contents.
+    /// Creates a reader of a file with these contents.
     pub(super) fn new(bytes: &'a [u8]) -> Self {
         Self { bytes, offset: 0 }
     }
 
-    /// Where the last frame that was read ends.
+    /// Offset at which the last frame that was read ends, in bytes.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
 
-    /// The frame at this offset: its end, and its record. `None` if its length is none that was written, or
-    /// reaches beyond the file.
+    /// Decodes the frame at this offset. Returns the offset of its end and its record, or `None` if its
+    /// length is invalid or the frame would reach beyond the end of the file.
     fn frame_at(&self, offset: usize) -> Option<(usize, Result<Record, FrameError>)> {
         let rest = self.bytes.get(offset..)?;
         let header = Header::read(rest)?;
@@ -71,14 +74,14 @@
         Some((offset + HEADER_BYTES + header.length, decode(payload, header.checksum)))
     }
 
-    fn is_sound(&self, offset: usize) -> bool {
+    fn is_valid(&self, offset: usize) -> bool {
         matches!(self.frame_at(offset), Some((_, Ok(_))))
     }
 
-    /// The first sound frame behind this offset. One that a client has put into the body of a message is
-    /// taken for one of ours only if the message itself is damaged.
-    fn next_sound(&self, offset: usize) -> Option<usize> {
-        (offset + 1..self.bytes.len().saturating_sub(HEADER_BYTES)).find(|offset| self.is_sound(*offset))
+    /// Finds the first valid frame after this offset. A frame that a client put into a message's body is
+    /// mistaken for one of the journal's only if the frame of that message is damaged.
+    fn next_valid(&self, offset: usize) -> Option<usize> {
+        (offset + 1..self.bytes.len().saturating_sub(HEADER_BYTES)).find(|offset| self.is_valid(*offset))
     }
 }
 
@@ -92,25 +95,29 @@
                 self.offset = end;
                 return Some(Frame { offset, record: Ok(record) });
             }
-            // Its length tells where the next one begins, unless it is the length that is damaged.
-            Some((end, Err(error))) if end == self.bytes.len() || self.is_sound(end) => {
+            // The length gives the start of the next frame, unless the length itself is damaged.
+            Some((end, Err(error))) if end == self.bytes.len() || self.is_valid(end) => {
                 self.offset = end;
                 return Some(Frame { offset, record: Err(error) });
             }
             Some((_, Err(error))) => error,
             None => FrameError::Length,
         };
-        self.offset = self.next_sound(offset)?;
+        self.offset = self.next_valid(offset)?;
         Some(Frame { offset, record: Err(error) })
     }
 }
 
+/// The header of a frame.
 struct Header {
+    /// Length of the encoded record in bytes.
     length: usize,
+    /// CRC-32 of the encoded record.
     checksum: u32,
 }
 
 impl Header {
+    /// Reads the header at the start of these bytes. `None` if it is incomplete or its length is invalid.
     fn read(bytes: &[u8]) -> Option<Self> {
         let length = read_u32(bytes, 0)? as usize;
         let checksum = read_u32(bytes, CHECKSUM_OFFSET)?;
--- a/crates/message-sender/src/journal/mod.rs
+++ b/crates/message-sender/src/journal/mod.rs
@@ -1,13 +1,13 @@
-//! The write-ahead journal: accepted messages outlast the process that accepted them.
+//! The write-ahead journal, which preserves accepted messages across restarts of the process.
 //!
-//! Each change is appended as a record (`record`) in a checksummed frame (`frame`) before it can be observed
-//! from outside: a message before its client gets the answer, an attempt before its first byte is sent. A new
-//! process replays the records and resumes from the state that they add up to (`state`). When the file has
-//! grown, it is replaced by one that holds the present state alone (`compaction`), within a budget of disk
+//! Each change is appended as a record (`record`) in a checksummed frame (`frame`) before it is visible from
+//! outside: a message before its client gets the answer, an attempt before its first byte is sent. A new
+//! process replays the records and resumes from the resulting state (`state`). A file that has grown is
+//! replaced by one that holds only the current state (`compaction`). All files stay within a budget of disk
 //! space (`capacity`).
 //!
-//! Nothing is synced to the disk. What was written survives the death of the process, since the kernel holds
-//! it; it may not survive the death of the machine.
+//! Nothing is synced to the disk. Written records survive a crash of the process, because the kernel holds
+//! them, but may not survive a crash of the machine.
 
 mod capacity;
 mod compaction;
--- a/crates/message-sender/src/journal/recently_ended.rs
+++ b/crates/message-sender/src/journal/recently_ended.rs
@@ -1,20 +1,22 @@
-//! The ids of messages that have ended, so that one that comes again is not sent again.
+//! The call ids of recently ended messages, so that a message that is submitted again is not sent again.
 
 use std::collections::{HashSet, VecDeque};
 
-/// Ids that are remembered at most, which bounds the memory that they take.
+/// Maximum number of ids, which bounds the memory that they take.
 const CAPACITY: usize = 4_096;
 
-/// The last messages that were delivered, or that failed after attempts, by the ids that their clients gave.
-/// Those that were rejected are not among them: their clients may submit them again.
+/// The last messages that were delivered or failed after attempts, by their call ids. Rejected messages are
+/// not included, because their clients may submit them again.
 #[derive(Debug, Default)]
 pub(super) struct RecentlyEnded {
+    /// The ids, for lookup.
     call_ids: HashSet<String>,
+    /// The same ids in the order in which their messages ended.
     oldest_first: VecDeque<String>,
 }
 
 impl RecentlyEnded {
-    /// Remembers a message that has ended just now.
+    /// Adds a message that has just ended, and drops the oldest one beyond the capacity.
     pub(super) fn insert(&mut self, call_id: String) {
         if !self.call_ids.insert(call_id.clone()) {
             return;
@@ -27,13 +29,13 @@
         }
     }
 
-    /// Whether a message of this id has ended a while ago.
+    /// Whether a message with this id ended recently.
     pub(super) fn contains(&self, call_id: &str) -> bool {
         self.call_ids.contains(call_id)
     }
 
-    /// The last ids that take no more than this many bytes, oldest first.
-    pub(super) fn last(&self, max_bytes: u64) -> Vec<String> {
+    /// The newest ids that together take no more than this many bytes, oldest first.
+    pub(super) fn newest_within(&self, max_bytes: u64) -> Vec<String> {
         let mut bytes = 0;
         let fits = |call_id: &&String| {
             bytes += call_id.len() as u64 + 1;
--- a/crates/message-sender/src/journal/record.rs
+++ b/crates/message-sender/src/journal/record.rs
@@ -1,9 +1,9 @@
-//! The records and their stored form.
+//! The journal's records and their stored form.
 //!
-//! Records are encoded with postcard: variants of an enum are stored by position, fields of a struct by
-//! order, and neither by name. Names may change; positions and orders must not, since a version must read
-//! what earlier ones wrote. New variants go to the end, a struct is never extended: a record with new fields
-//! becomes a new variant.
+//! Records are encoded with postcard, which stores an enum's variant by its position and a struct's fields in
+//! their order, without names. Names may change, but positions and order must not, because each version must
+//! read what earlier ones wrote. New variants are added at the end. Structs are never extended: a record with
+//! new fields becomes a new variant.
 
 use bytes::Bytes;
 use delivery_control::{DestinationId, MessageId, Micros};
@@ -12,71 +12,73 @@
 use crate::machine_clock::MachineTime;
 use crate::notice::Notice;
 
-/// One change of the journal's state.
+/// One change to the journal's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum Record {
-    /// Ids up to this one have been used. Written by compactions, which drop the messages that had them.
+    /// All message ids up to this one have been used. Written by compactions, which drop the ended messages
+    /// that used them.
     HighestUsedId(MessageId),
-    /// A message was accepted, as versions without order keys wrote it. Only read; now `Accepted`.
+    /// A message was accepted, as versions without order keys stored it. Read only; `Accepted` replaces it.
     AcceptedV1(MessageId, AcceptedMessageV1),
     /// An attempt is about to be sent.
     AttemptStarted(MessageId, AttemptStart),
     /// The last attempt was not processed by its endpoint.
     AttemptUnprocessed(MessageId),
-    /// All attempts so far. Written by compactions, in place of the records of the attempts.
+    /// All attempts of the message so far. Written by compactions in place of the records of single attempts.
     History(MessageId, AttemptHistory),
-    /// The message ended, with the notice that the platform must get, if any.
+    /// The message ended. Holds the notice to be sent to the platform, if there is one.
     Ended(MessageId, Option<Notice>),
-    /// The platform acknowledged the notice.
+    /// The platform acknowledged the message's notice.
     NoticeAcknowledged(MessageId),
     /// A message was accepted.
     Accepted(MessageId, AcceptedMessage),
-    /// An operator drained the endpoint of this name.
+    /// An operator drained the endpoint with this name.
     EndpointDrained(String),
-    /// An operator restored the endpoint of this name.
+    /// An operator restored the endpoint with this name.
     EndpointRestored(String),
-    /// The order key of a message whose notice is pending. Written by compactions, which drop the message
-    /// itself.
+    /// The order key of a message whose notice is pending. Written by compactions, which drop the message and
+    /// keep its notice.
     PendingNoticeOrderKey(MessageId, String),
-    /// No byte of the last attempt was sent: it does not count as an attempt.
+    /// No byte of the last attempt was sent, so it does not count as an attempt.
     AttemptUnsent(MessageId),
-    /// What the clocks showed when a process began. Earlier versions skip it.
+    /// Reading of the clocks when a process started. Versions that do not know this record skip it.
     ClockReading(ClockReading),
-    /// Ids of messages that ended lately. Written by compactions, which drop the messages. Earlier versions
-    /// skip it.
+    /// Call ids of messages that ended recently. Written by compactions, which drop the messages themselves.
+    /// Versions that do not know this record skip it.
     RecentlyEnded(Vec<String>),
 }
 
-/// A reading of the clock in which the journal's times are told, together with the machine's own clock, by
-/// which the next process knows how much time has passed.
+/// A simultaneous reading of the journal's clock and of the machine's monotonic clock. From the latter the
+/// next process computes how much time has passed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// The machine's clock.
+    /// Reading of the machine's monotonic clock.
     pub machine: MachineTime,
-    /// The journal's clock at the same moment.
+    /// Reading of the journal's clock, in which the records' times are stored, in microseconds.
     pub journal_time: Micros,
 }
 
 /// A message as it was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
-    /// The message, as its client names it.
+    /// The client's id of the message.
     pub call_id: String,
-    /// Its idempotency key.
+    /// Idempotency key, if the client gave one.
     pub key: Option<String>,
-    /// Name of its class: a later configuration may number classes otherwise.
+    /// Name of the message's class, not its index: a later configuration may number classes differently.
     pub class: String,
-    /// Where it is to be delivered.
+    /// Destination to deliver the message to.
     pub destination: DestinationId,
-    /// The key within which ordered classes keep their messages in order.
+    /// Ordered classes deliver the messages that share this key in order.
     pub order_key: Option<String>,
-    /// When it must have ended, by the journal's clock.
+    /// Time by which the message must have ended, in microseconds of the journal's clock.
     pub deadline: Micros,
-    /// What is to be delivered.
+    /// Content to deliver.
     pub body: Body,
 }
 
-/// A message as versions without order keys wrote it. Their messages must survive an upgrade.
+/// A message as versions without order keys stored it, with the fields of [`AcceptedMessage`] except the
+/// order key. Still read, so that these messages survive an upgrade.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct AcceptedMessageV1 {
     pub(super) call_id: String,
@@ -94,7 +96,7 @@
     }
 }
 
-/// The body of a message, stored as one string of bytes rather than as a sequence of numbers.
+/// The body of a message, serialized as one byte string instead of a sequence of integers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Body(pub Bytes);
 
@@ -114,30 +116,30 @@
 /// When and in which zone an attempt was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AttemptStart {
-    /// When it was sent, by the journal's clock.
+    /// When the attempt was sent, in microseconds of the journal's clock.
     pub sent_at: Micros,
-    /// Index of its endpoint's zone.
+    /// Index of the zone of the attempt's endpoint.
     pub zone: u64,
 }
 
 /// The attempts of a message so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AttemptHistory {
-    /// How many attempts were made.
+    /// Number of attempts that were made.
     pub attempts: u32,
-    /// The first attempt that may have taken effect, of those that have ended.
+    /// The first of the ended attempts that may have taken effect.
     pub(super) ambiguous: Option<AttemptStart>,
     /// The last attempt, unless it is known not to have been processed.
     pub(super) in_flight: Option<AttemptStart>,
 }
 
 impl AttemptHistory {
-    /// The first attempt that may have taken effect. One that was in flight when the process died may have.
+    /// The first attempt that may have taken effect, such as one that was in flight when the process crashed.
     pub fn first_ambiguous(&self) -> Option<AttemptStart> {
         self.ambiguous.or(self.in_flight)
     }
 
-    /// The first attempt that may have taken effect, of those that have ended.
+    /// The first of the ended attempts that may have taken effect.
     pub fn first_ambiguous_ended(&self) -> Option<AttemptStart> {
         self.ambiguous
     }
@@ -147,19 +149,20 @@
         self.in_flight
     }
 
-    /// An attempt is about to be sent. Whatever the one before it did is not going to be recorded any more.
+    /// Adds an attempt that is about to be sent. No record about the previous attempt can follow, so that
+    /// attempt stays ambiguous unless it is already known not to have been processed.
     pub(super) fn start_attempt(&mut self, attempt: AttemptStart) {
         self.ambiguous = self.first_ambiguous();
         self.in_flight = Some(attempt);
         self.attempts += 1;
     }
 
-    /// The last attempt was not processed.
+    /// Marks the last attempt as not processed by its endpoint.
     pub(super) fn mark_unprocessed(&mut self) {
         self.in_flight = None;
     }
 
-    /// The last attempt was not sent: it does not count.
+    /// Removes the last attempt, which was not sent, from the count.
     pub(super) fn mark_unsent(&mut self) {
         self.in_flight = None;
         self.attempts = self.attempts.saturating_sub(1);
--- a/crates/message-sender/src/journal/state.rs
+++ b/crates/message-sender/src/journal/state.rs
@@ -1,4 +1,4 @@
-//! What the records of a journal add up to.
+//! The state that results from replaying a journal's records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,41 +10,45 @@
 use super::record::{AcceptedMessage, AttemptHistory, ClockReading, Record};
 use crate::notice::{Notice, NoticeResult};
 
-/// What the journal holds of a message.
+/// What the journal holds about a message.
 #[derive(Debug, Clone, PartialEq)]
 pub enum JournalEntry {
-    /// The message has not ended; with its attempts so far.
+    /// The message has not ended. Holds its attempts so far.
     Open(AcceptedMessage, AttemptHistory),
-    /// The message has ended, and the platform has yet to acknowledge the notice. With its order key: the
-    /// next message of that key waits for the acknowledgement.
+    /// The message has ended, and the platform has not acknowledged its notice yet. Holds its order key,
+    /// because the next message with that key waits for the acknowledgement.
     PendingNotice(Notice, Option<String>),
 }
 
-/// Records that cannot be read are logged one by one up to so many.
+/// Maximum number of unreadable records that a replay logs one by one; beyond it, only their total is logged.
 const MAX_SKIPS_LOGGED: usize = 10;
 
 /// The state of a journal after all of its records.
 #[derive(Debug, Default)]
 pub(super) struct JournalState {
+    /// The messages that are open or have a pending notice.
     entries: BTreeMap<MessageId, JournalEntry>,
-    /// Space reserved for the open messages.
+    /// Space reserved for the open messages, in bytes.
     open_bytes: u64,
+    /// The highest id that a message has had; 0 if there was none.
     highest_used_id: MessageId,
+    /// Names of the endpoints that operators have drained.
     drained_endpoints: BTreeSet<String>,
-    /// The last reading of the clocks.
+    /// The last recorded reading of the clocks.
     clock_reading: Option<ClockReading>,
+    /// Messages that ended recently, by their call ids.
     recently_ended: RecentlyEnded,
 }
 
-/// A journal file as read.
+/// The result of replaying a journal file.
 pub(super) struct Replay {
     /// The state after its last complete record.
     pub(super) state: JournalState,
-    /// Where that record ends.
+    /// Offset at which that record ends, in bytes.
     pub(super) complete_length: usize,
 }
 
-/// Applies all complete records of a file. A corrupt one is skipped: the others are still worth having.
+/// Applies all complete records of a file. Corrupt records are skipped, so that the others are not lost.
 pub(super) fn replay(bytes: &[u8]) -> Replay {
     let mut state = JournalState::default();
     let mut frames = FrameReader::new(bytes);
@@ -67,23 +71,23 @@
 }
 
 impl JournalState {
-    /// All messages that are open or have a pending notice, in the order of their ids.
+    /// All messages that are open or have a pending notice, in ascending order of their ids.
     pub(super) fn entries(&self) -> impl Iterator<Item = (MessageId, &JournalEntry)> {
         self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// Whether the message is held and has not ended.
+    /// Whether the journal holds the message and it has not ended.
     pub(super) fn is_open(&self, id: MessageId) -> bool {
         matches!(self.entries.get(&id), Some(JournalEntry::Open(..)))
     }
 
-    /// The messages that are held and have not ended.
+    /// The messages that the journal holds and that have not ended.
     pub(super) fn open_messages(&self) -> impl Iterator<Item = MessageId> + '_ {
         let is_open = |entry: &JournalEntry| matches!(entry, JournalEntry::Open(..));
         self.entries.iter().filter(move |(_, entry)| is_open(entry)).map(|(id, _)| *id)
     }
 
-    /// Space reserved for the open messages.
+    /// Space reserved for the open messages, in bytes.
     pub(super) fn open_bytes(&self) -> u64 {
         self.open_bytes
     }
@@ -98,17 +102,17 @@
         &self.drained_endpoints
     }
 
-    /// The messages that ended lately.
+    /// The messages that ended recently.
     pub(super) fn recently_ended(&self) -> &RecentlyEnded {
         &self.recently_ended
     }
 
-    /// The last reading of the clocks.
+    /// The last recorded reading of the clocks.
     pub(super) fn clock_reading(&self) -> Option<&ClockReading> {
         self.clock_reading.as_ref()
     }
 
-    /// Brings the deadline of an open message forward to this time.
+    /// Moves the deadline of an open message to this time if it is later. Returns whether it was.
     pub(super) fn limit_deadline(&mut self, id: MessageId, latest: Micros) -> bool {
         let Some(JournalEntry::Open(message, _)) = self.entries.get_mut(&id) else { return false };
         let is_later = message.deadline > latest;
@@ -116,8 +120,8 @@
         is_later
     }
 
-    /// Applies one record. One of a message that is not held, or not in the state that it is for, changes
-    /// nothing.
+    /// Applies one record. Records of attempts and of pending notices' order keys have no effect if the
+    /// journal holds no entry of the matching kind for their message.
     pub(super) fn apply(&mut self, record: Record) {
         match record {
             Record::HighestUsedId(id) => self.mark_used(id),
@@ -169,9 +173,9 @@
         self.mark_used(id);
         let is_rejected =
             notice.as_ref().is_some_and(|notice| matches!(notice.result, NoticeResult::Rejected { .. }));
-        // Without an attempt it was withdrawn, or rejected at once: its client may submit it again.
+        // A message without an attempt was withdrawn or rejected at once, so its client may submit it again.
         if !is_rejected && self.is_attempted(id) {
-            self.remember(id);
+            self.add_recently_ended(id);
         }
         let order_key = self.remove(id).and_then(|message| message.order_key);
         if let Some(notice) = notice {
@@ -183,7 +187,7 @@
         matches!(self.entries.get(&id), Some(JournalEntry::Open(_, history)) if history.attempts > 0)
     }
 
-    fn remember(&mut self, id: MessageId) {
+    fn add_recently_ended(&mut self, id: MessageId) {
         if let Some(JournalEntry::Open(message, _)) = self.entries.get(&id) {
             self.recently_ended.insert(message.call_id.clone());
         }
--- a/crates/message-sender/src/journal/tests.rs
+++ b/crates/message-sender/src/journal/tests.rs
@@ -1,4 +1,4 @@
-//! The journal's behaviour on a folder of its own: replay, damage, compaction and limits.
+//! Tests of the journal on temporary folders: replay, damaged files, compaction and limits.
 
 use std::fs;
 use std::path::Path;
@@ -6,12 +6,13 @@
 use bytes::Bytes;
 use delivery_control::{MessageId, Micros};
 
-use super::capacity::{allotted, reserved_bytes, DiskBudget};
+use super::capacity::{allocated_bytes, reserved_bytes, DiskBudget};
 use super::file::{COMPACTED_FILE_NAME, FILE_NAME};
 use super::writer::MAX_DRAINED_ENDPOINTS;
 use super::*;
 use crate::notice::{Notice, NoticeResult};
 
+/// Disk space for the journal in bytes, unless a test sets another limit.
 const DISK_BYTES: u64 = 3_000_000;
 
 fn accepted(call_id: &str, body_bytes: usize) -> AcceptedMessage {
@@ -38,10 +39,12 @@
     journal.entries().map(|(id, entry)| (id, entry.clone())).collect()
 }
 
+/// The space that the file system allocates for all files of the folder, in bytes.
 fn disk_usage(folder: &Path) -> u64 {
-    fs::read_dir(folder).unwrap().map(|file| allotted(file.unwrap().metadata().unwrap().len())).sum()
+    fs::read_dir(folder).unwrap().map(|file| allocated_bytes(file.unwrap().metadata().unwrap().len())).sum()
 }
 
+/// Guards against a restart or a compaction that loses or changes a message, its attempts or its notice.
 #[test]
 fn replay_restores_what_was_recorded() {
     let folder = tempfile::tempdir().unwrap();
@@ -59,7 +62,8 @@
     let reopened = open(folder.path());
     assert_eq!(entries(&reopened), entries(&journal));
     let history = AttemptHistory { attempts: 3, ambiguous: Some(attempt(6)), in_flight: Some(attempt(7)) };
-    // The order key survives, also a compaction: the next message of it waits for the acknowledgement.
+    // The order key must survive a restart and a compaction, because the next message with this key waits for
+    // the acknowledgement of the notice.
     let pending = JournalEntry::PendingNotice(notice, Some("card".to_owned()));
     journal.compact().unwrap();
     assert_eq!(entries(&open(folder.path())), entries(&reopened));
@@ -67,7 +71,8 @@
     assert_eq!((reopened.next_id(), history.first_ambiguous()), (4, Some(attempt(6))));
 }
 
-/// An upgrade must not lose what the version before it accepted. These are the bytes that it wrote.
+/// Guards against an upgrade that loses messages accepted by a version without order keys. The bytes are
+/// those that such a version wrote.
 #[test]
 fn messages_stored_without_order_keys_are_still_read() {
     let folder = tempfile::tempdir().unwrap();
@@ -82,8 +87,8 @@
     assert_eq!(entries(&journal), [(5, JournalEntry::Open(expected, AttemptHistory::default()))]);
 }
 
-/// A process may die inside a write: what was complete before must survive, and what follows must be
-/// readable.
+/// Guards against losing records when a process crashes during a write: complete records before the partial
+/// one must survive, and records that are appended later must be readable.
 #[test]
 fn an_incomplete_last_record_is_cut_off_wherever_it_ends() {
     let folder = tempfile::tempdir().unwrap();
@@ -98,7 +103,8 @@
     }
 }
 
-/// Whatever the file holds, the sender starts, with the records whose checksums match.
+/// Guards against a sender that does not start, or that loses earlier records, because a later one is
+/// corrupt. Records whose checksums match must be restored.
 #[test]
 fn a_corrupt_byte_leaves_earlier_records_intact() {
     let folder = tempfile::tempdir().unwrap();
@@ -114,7 +120,7 @@
     }
 }
 
-/// A record that its checksum rejects costs that record alone.
+/// Guards against a replay that stops at a record with a wrong checksum. Only that record may be lost.
 #[test]
 fn records_after_a_corrupt_one_are_still_read() {
     let folder = tempfile::tempdir().unwrap();
@@ -127,8 +133,8 @@
     assert_eq!(fs::read(&path).unwrap(), bytes, "nothing is cut off");
 }
 
-/// Earlier versions appended behind a part that they could not cut off, and a disk may damage any place: what
-/// is sound behind it is read, wherever the damage begins and ends.
+/// Guards against losing valid records after a damaged section, wherever it begins and ends. Earlier versions
+/// appended after a partial record that they could not truncate, and a disk may damage any part of the file.
 #[test]
 fn records_behind_a_torn_part_are_still_read() {
     let folder = tempfile::tempdir().unwrap();
@@ -150,7 +156,8 @@
     }
 }
 
-/// Guards against a compaction that fails for good after one that died half-way.
+/// Guards against compactions that always fail after a process crashed during one, because the file that it
+/// left is in the way.
 #[test]
 fn a_leftover_of_a_compaction_is_written_over() {
     let folder = tempfile::tempdir().unwrap();
@@ -163,8 +170,8 @@
     assert!(!folder.path().join(COMPACTED_FILE_NAME).exists());
 }
 
-/// Versions that take turns on one folder must agree on the limits, or one finds the journal of the other
-/// full.
+/// Guards against limits that differ between versions: after an upgrade or a downgrade, one version would
+/// find the other's journal full.
 #[test]
 fn limits_are_fixed_shares_of_the_disk_in_whole_blocks() {
     let budget = DiskBudget::new(3_000_000);
@@ -173,11 +180,12 @@
     assert_eq!(budget.hard_limit(), 1_619_968);
     assert!(budget.fits_both(budget.hard_limit(), budget.open_messages()));
     assert!(!budget.fits_both(2_000_000, 1_000_000), "in blocks these are more than the disk");
-    // Twice the call id, the class, both keys, the body, and space for attempts and the end.
+    // Twice the call id, the class, both keys, the body, and the space for the attempts and the end.
     assert_eq!(reserved_bytes(&accepted("m1", 100)), 4 + 6 + 7 + 100 + 256);
 }
 
-/// The old and the new file together must stay under the limit, or the sender counts as crashed.
+/// Guards against a compaction that exceeds the disk limit while the old and the new file both exist, for
+/// which the sender would count as crashed, and against one that loses an open message.
 #[test]
 fn compaction_stays_within_the_disk_limit_and_loses_nothing() {
     let folder = tempfile::tempdir().unwrap();
@@ -196,8 +204,8 @@
     assert_eq!(reopened.next_id(), 500);
 }
 
-/// Guards against endpoints that come back because the journal was compacted or the process restarted, and
-/// against names without bound.
+/// Guards against drained endpoints that get messages again because the journal was compacted or the process
+/// restarted, and against an unlimited number of stored names.
 #[test]
 fn drained_endpoints_survive_compaction_and_restart_up_to_a_bound() {
     let folder = tempfile::tempdir().unwrap();
@@ -218,7 +226,8 @@
     assert!(reopened.drained_endpoints().contains("s-0") && !reopened.drained_endpoints().contains("s-1"));
 }
 
-/// A folder that takes no new file must not lose what the old one holds, nor what is still added to it.
+/// Guards against losing records of the old file, or records appended to it later, when a compaction cannot
+/// create its new file.
 #[test]
 fn a_failed_compaction_leaves_the_old_file_in_use() {
     let folder = tempfile::tempdir().unwrap();
@@ -241,7 +250,7 @@
     reopened.record_accepted(count + 2, accepted("m", 1_000)).unwrap();
 }
 
-/// A full journal must still take the attempts and ends of the messages that it holds.
+/// Guards against accepted messages that cannot be attempted or ended once new ones have filled the journal.
 #[test]
 fn a_full_journal_still_records_attempts_and_ends() {
     let folder = tempfile::tempdir().unwrap();
@@ -265,8 +274,8 @@
     journal.record_accepted(count + 1, accepted("m", 1_000)).unwrap();
 }
 
-/// Guards against an attempt that was never sent being counted, or hiding that one before it may have taken
-/// effect.
+/// Guards against counting an attempt that was never sent, and against such an attempt hiding that an earlier
+/// one may have taken effect.
 #[test]
 fn an_unsent_attempt_does_not_count() {
     let folder = tempfile::tempdir().unwrap();
@@ -286,8 +295,8 @@
     assert_eq!(history(&open(folder.path())), (1, Some(attempt(6))));
 }
 
-/// Guards against a message that is sent again, also by the next process and after a compaction, because its
-/// id comes again; and against one that was withdrawn or rejected and is taken for delivered.
+/// Guards against sending a delivered or failed message again when its client submits the call id again, also
+/// after a restart or a compaction; and against taking a withdrawn or rejected message for a delivered one.
 #[test]
 fn messages_that_were_delivered_or_failed_are_remembered_by_their_ids() {
     let folder = tempfile::tempdir().unwrap();
@@ -315,11 +324,11 @@
     assert_eq!(remembered(&open(folder.path())), expected);
 }
 
-/// A journal of two records: the messages `m1` and `m2`, accepted under the ids 1 and 2.
+/// A journal of two records, which accept the messages `m1` and `m2` with the ids 1 and 2.
 struct TwoRecords {
-    /// Where the first record ends.
+    /// Offset at which the first record's frame ends, in bytes.
     first_length: usize,
-    /// The whole file.
+    /// The contents of the file.
     bytes: Vec<u8>,
 }
 
--- a/crates/message-sender/src/journal/writer.rs
+++ b/crates/message-sender/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The journal as the sender uses it: opened once, then written before each step.
+//! The interface of the journal: opened once at startup, then written as messages change state.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::path::Path;
@@ -15,39 +15,43 @@
 use super::state::{replay, JournalEntry, JournalState};
 use crate::notice::Notice;
 
-/// Endpoints that operators may have drained at a time. Their names stay until they are restored, also where
-/// no such endpoint is listed any more.
+/// Maximum number of endpoints that operators may have drained at a time. A drained endpoint's name is kept
+/// until it is restored, even if discovery no longer lists the endpoint.
 pub(super) const MAX_DRAINED_ENDPOINTS: usize = 1024;
 
-/// Least time between compactions that fail: each writes all of the state.
+/// Minimum time between a failed compaction and the next attempt, since each attempt writes the whole state.
 const COMPACTION_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The journal of one sender.
 ///
-/// Its state is ahead of the file while the folder takes no writes: what has happened to messages is kept in
-/// `unwritten` until it can be appended. What must be on the disk first is refused meanwhile.
+/// While the file cannot be written, the state is ahead of it: outcomes of attempts and messages are kept in
+/// `unwritten` until they can be appended. Steps that must be recorded before they are taken, such as
+/// accepting a message, are refused meanwhile.
 pub struct Journal {
     file: JournalFile,
+    /// Limits of the file's length.
     budget: DiskBudget,
+    /// The result of all records, including those in `unwritten`.
     state: JournalState,
-    /// Frames that could not be appended yet, oldest first. They are bounded by the open messages: no new
-    /// message or attempt is recorded before them.
+    /// Frames that could not be appended yet, oldest first. The number of open messages bounds them, because
+    /// no new message or attempt is recorded before they are written.
     unwritten: VecDeque<Vec<u8>>,
-    /// When a compaction failed, so that it is not tried with each record.
+    /// When the last compaction failed, if it did. Prevents another one with each record.
     compaction_failed_at: Option<Instant>,
 }
 
 impl Journal {
-    /// Opens the journal in the state folder and replays it. An incomplete record at its end is cut off, at
-    /// the latest before the next record. All files of the journal together take no more than `disk_bytes`.
+    /// Opens the journal in the state folder and replays it. An incomplete record at its end is truncated, at
+    /// the latest before the next record is appended. All files of the journal together take no more than
+    /// `disk_bytes`.
     pub fn open(folder: &Path, disk_bytes: u64) -> Result<Self, JournalError> {
         let (mut file, contents) = JournalFile::open(folder)?;
         let replayed = replay(&contents);
         if replayed.complete_length < contents.len() {
             let bytes = contents.len() - replayed.complete_length;
-            tracing::warn!(bytes, "incomplete journal record cut off");
+            tracing::warn!(bytes, "incomplete record at the end of the journal truncated");
             if let Err(error) = file.truncate(replayed.complete_length as u64) {
-                tracing::warn!(%error, "incomplete journal record not cut off yet");
+                tracing::warn!(%error, "incomplete record at the end of the journal not truncated yet");
             }
         }
         let budget = DiskBudget::new(disk_bytes);
@@ -65,17 +69,17 @@
         self.state.entries()
     }
 
-    /// Whether the message is held and has not ended.
+    /// Whether the journal holds the message and it has not ended.
     pub fn is_open(&self, id: MessageId) -> bool {
         self.state.is_open(id)
     }
 
-    /// The messages that are held and have not ended.
+    /// The messages that the journal holds and that have not ended.
     pub fn open_messages(&self) -> impl Iterator<Item = MessageId> + '_ {
         self.state.open_messages()
     }
 
-    /// Whether a message of this id was delivered, or failed after attempts, a while ago.
+    /// Whether a message with this call id was recently delivered, or recently failed after attempts.
     pub fn has_recently_ended(&self, call_id: &str) -> bool {
         self.state.recently_ended().contains(call_id)
     }
@@ -85,17 +89,18 @@
         self.state.drained_endpoints()
     }
 
-    /// The last reading of the clocks, by the process that began to count in this time.
+    /// The last reading of the clocks that an earlier process or this one recorded.
     pub fn clock_reading(&self) -> Option<&ClockReading> {
         self.state.clock_reading()
     }
 
-    /// Records a reading of the clocks, from which the next process goes on.
+    /// Records a reading of the clocks, from which the next process continues the journal's clock.
     pub fn record_clock_reading(&mut self, reading: ClockReading) -> Result<(), JournalError> {
         self.append_outcome(Record::ClockReading(reading))
     }
 
-    /// Brings the deadlines of open messages forward to these times, each of a message that can't have longer.
+    /// Moves the deadlines of open messages that are later than the given times to these times, and compacts
+    /// the file if a deadline changed, because no record changes the deadline of an accepted message.
     pub fn limit_deadlines(
         &mut self,
         latest: impl IntoIterator<Item = (MessageId, Micros)>,
@@ -110,12 +115,12 @@
         Ok(())
     }
 
-    /// An id that no message of this journal has had.
+    /// The lowest id above all ids that messages of this journal have had.
     pub fn next_id(&self) -> MessageId {
         self.state.highest_used_id() + 1
     }
 
-    /// Records that an operator drained an endpoint; one that is drained already takes no record.
+    /// Records that an operator drained an endpoint. Writes nothing if it is already drained.
     pub fn record_drained(&mut self, name: &str) -> Result<(), JournalError> {
         let drained = self.state.drained_endpoints();
         if drained.contains(name) {
@@ -127,7 +132,7 @@
         self.append_within_hard_limit(Record::EndpointDrained(name.to_owned()))
     }
 
-    /// Records that an operator restored an endpoint; one that is not drained takes no record.
+    /// Records that an operator restored an endpoint. Writes nothing if it is not drained.
     pub fn record_restored(&mut self, name: &str) -> Result<(), JournalError> {
         if !self.state.drained_endpoints().contains(name) {
             return Ok(());
@@ -135,7 +140,7 @@
         self.append_within_hard_limit(Record::EndpointRestored(name.to_owned()))
     }
 
-    /// Records that a message is accepted. Until then its client must not be told so.
+    /// Records that a message is accepted. Its client must not be told so before this returns.
     pub fn record_accepted(&mut self, id: MessageId, message: AcceptedMessage) -> Result<(), JournalError> {
         if self.state.open_bytes() + reserved_bytes(&message) > self.budget.open_messages() {
             return Err(JournalError::Full);
@@ -143,14 +148,14 @@
         self.append(Record::Accepted(id, message), self.budget.compaction_threshold())
     }
 
-    /// Records that an attempt starts. Until then no byte of it may be sent. To be called once the connection
-    /// is established: if the process died before that, a call that was never made would count as one that
-    /// may have taken effect.
+    /// Records that an attempt starts. No byte of it may be sent before this returns. Must be called once the
+    /// connection is established: if it were called earlier and the process crashed while connecting, a call
+    /// that was never made would count as one that may have taken effect.
     pub fn record_attempt(&mut self, id: MessageId, attempt: AttemptStart) -> Result<(), JournalError> {
         self.append_within_hard_limit(Record::AttemptStarted(id, attempt))
     }
 
-    /// Records that no byte of the last attempt was sent, nor will be.
+    /// Records that no byte of the last attempt was or will be sent.
     pub fn record_unsent(&mut self, id: MessageId) -> Result<(), JournalError> {
         self.append_outcome(Record::AttemptUnsent(id))
     }
@@ -160,28 +165,28 @@
         self.append_outcome(Record::AttemptUnprocessed(id))
     }
 
-    /// Records that a message ended, with the notice that the platform must get, if any.
+    /// Records that a message ended, with the notice to be sent to the platform, if there is one.
     pub fn record_end(&mut self, id: MessageId, notice: Option<Notice>) -> Result<(), JournalError> {
         self.append_outcome(Record::Ended(id, notice))
     }
 
-    /// Records that the platform acknowledged the notice.
+    /// Records that the platform acknowledged the message's notice.
     pub fn record_notice_acknowledged(&mut self, id: MessageId) -> Result<(), JournalError> {
         self.append_outcome(Record::NoticeAcknowledged(id))
     }
 
-    /// Whether all that has happened is in the file.
+    /// Whether all records are in the file and it ends with a complete one.
     pub fn is_synchronized(&self) -> bool {
         self.unwritten.is_empty() && !self.file.is_torn()
     }
 
-    /// Appends what could not be appended yet. Where the file cannot be appended to, it is replaced.
+    /// Appends the records that could not be appended yet. If that fails, replaces the file by compacting it.
     pub fn synchronize(&mut self) -> Result<(), JournalError> {
         if self.is_synchronized() {
             return Ok(());
         }
         let Err(error) = self.append_unwritten() else { return Ok(()) };
-        // The new file holds all of the state.
+        // The new file holds the whole state, including the unwritten records.
         self.try_compact().then_some(()).ok_or(error)
     }
 
@@ -198,8 +203,8 @@
         Ok(())
     }
 
-    /// Records what has happened already. It takes effect in any case, and is appended as soon as the file
-    /// can be; an error says that it is not in the file yet.
+    /// Records something that has already happened. It is applied to the state in any case and appended as
+    /// soon as the file can be written; an error means that it is not in the file yet.
     fn append_outcome(&mut self, record: Record) -> Result<(), JournalError> {
         let frame = encode(&record)?;
         self.state.apply(record);
@@ -208,14 +213,14 @@
         self.synchronize()
     }
 
-    /// Appends a record that brings accepted messages on, or that is small: it may use the space that is
-    /// closed to new messages.
+    /// Appends a record that is about an accepted message, or that is small. It may use the space that new
+    /// messages may not use.
     fn append_within_hard_limit(&mut self, record: Record) -> Result<(), JournalError> {
         self.append(record, self.budget.hard_limit())
     }
 
-    /// Appends a record unless the file would grow past this length, and applies it. A file that has reached
-    /// the threshold is compacted first; where that fails, it grows on up to its limits.
+    /// Appends a record and applies it, unless the file would exceed `max_length`. If the file would exceed
+    /// the compaction threshold, it is compacted first; if that fails, it still grows up to `max_length`.
     pub(super) fn append(&mut self, record: Record, max_length: u64) -> Result<(), JournalError> {
         self.synchronize()?;
         let frame = encode(&record)?;
@@ -229,7 +234,8 @@
         Ok(())
     }
 
-    /// Compacts the file, unless that failed a moment ago; whether it was compacted.
+    /// Compacts the file, unless that failed within the last [`COMPACTION_RETRY_INTERVAL`]. Returns whether
+    /// the file was compacted.
     fn try_compact(&mut self) -> bool {
         if self.compaction_failed_at.is_some_and(|at| at.elapsed() < COMPACTION_RETRY_INTERVAL) {
             return false;
@@ -242,16 +248,16 @@
         compacted.is_ok()
     }
 
-    /// Compacts the file if this many more bytes would take it beyond the threshold.
-    fn compact_when_due(&mut self, more_bytes: u64) {
+    /// Compacts the file if this many additional bytes would take it beyond the compaction threshold.
+    fn compact_when_due(&mut self, additional_bytes: u64) {
         let unwritten: usize = self.unwritten.iter().map(Vec::len).sum();
-        let length = self.file.length() + unwritten as u64 + more_bytes;
+        let length = self.file.length() + unwritten as u64 + additional_bytes;
         if length > self.budget.compaction_threshold() {
             self.try_compact();
         }
     }
 
-    /// Replaces the file by one that holds the present state alone.
+    /// Replaces the file by one that holds only the current state.
     pub(super) fn compact(&mut self) -> Result<(), JournalError> {
         let contents = encode_snapshot(&self.state, self.budget.recently_ended())?;
         if !self.budget.fits_both(self.file.length(), contents.len() as u64) {
