--- a/crates/message-sender/src/log_limit.rs
+++ b/crates/message-sender/src/log_limit.rs
@@ -1,31 +1,34 @@
-//! Limits how often a kind of event is logged: an outage must not flood the log.
+//! Limits how often one kind of event is logged, so that an outage does not flood the log.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Lets one event through in each interval, and counts those in between.
+/// Allows one log event per interval, and counts the events in between that are not logged.
 pub struct LogLimit {
+    /// Minimum time between two logged events.
     interval: Duration,
-    last: Cell<Option<Instant>>,
+    /// When an event was last logged, if one was.
+    last_logged: Cell<Option<Instant>>,
+    /// Number of events since then.
     unlogged: Cell<u32>,
 }
 
 impl LogLimit {
-    /// Lets the first event through.
+    /// Creates a limit that allows the first event.
     pub const fn new(interval: Duration) -> Self {
-        Self { interval, last: Cell::new(None), unlogged: Cell::new(0) }
+        Self { interval, last_logged: Cell::new(None), unlogged: Cell::new(0) }
     }
 
-    /// Counts an event. If it is to be logged, returns how many there were since the last one that was.
+    /// Counts an event. If it is to be logged, returns the number of events since the last logged one.
     pub fn count(&self) -> Option<u32> {
         let events = self.unlogged.get() + 1;
         self.unlogged.set(events);
-        if self.last.get().is_some_and(|last| last.elapsed() < self.interval) {
+        if self.last_logged.get().is_some_and(|last| last.elapsed() < self.interval) {
             return None;
         }
-        self.last.set(Some(Instant::now()));
+        self.last_logged.set(Some(Instant::now()));
         self.unlogged.set(0);
         Some(events)
     }
--- a/crates/message-sender/src/machine_clock.rs
+++ b/crates/message-sender/src/machine_clock.rs
@@ -1,6 +1,6 @@
-//! The machine's monotonic clock, which runs on across the ends of processes and which nobody sets.
+//! The machine's monotonic clock, which neither restarts of processes nor changes of the system time affect.
 //!
-//! It starts anew at each boot; the kernel's boot id tells one boot from another.
+//! It starts again at each boot. The kernel's boot id distinguishes one boot from another.
 
 use std::fs;
 use std::io;
@@ -11,10 +11,11 @@
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 
-/// Where the kernel tells the boot id.
+/// File from which the kernel's boot id is read.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
-/// How often the file is read if that fails, and the pause before the next time.
+/// Maximum number of tries to read [`BOOT_ID_FILE`].
 const READ_ATTEMPTS: u32 = 20;
+/// Pause after a failed try to read [`BOOT_ID_FILE`].
 const READ_PAUSE: Duration = Duration::from_millis(10);
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
@@ -23,28 +24,28 @@
 /// A reading of the machine's monotonic clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineTime {
-    /// Identifies the boot since which the clock has run.
+    /// Identifies the boot at which the clock started.
     pub boot_id: String,
-    /// What the clock shows.
+    /// Reading of the clock in microseconds.
     pub monotonic: Micros,
 }
 
 impl MachineTime {
-    /// Reads the clock; `None` where the boot cannot be identified.
+    /// Reads the clock. Returns `None` if the boot id cannot be read.
     pub fn now() -> Option<Self> {
         let boot_id = read_boot_id()?;
         let time = clock_gettime(ClockId::Monotonic);
         Some(Self { boot_id, monotonic: time.tv_sec * MICROS_PER_SECOND + time.tv_nsec / NANOS_PER_MICRO })
     }
 
-    /// The time since an earlier reading; `None` if the machine has been booted in between.
+    /// The time since an earlier reading in microseconds, or `None` if the machine was booted in between.
     pub fn since(&self, earlier: &Self) -> Option<Micros> {
         let is_same_boot = self.boot_id == earlier.boot_id && self.monotonic >= earlier.monotonic;
         is_same_boot.then(|| self.monotonic - earlier.monotonic)
     }
 }
 
-/// Reads the boot id, again where the system fails to for a moment.
+/// Reads the boot id, with retries since a read may fail for a moment. `None` if there is none or all fail.
 fn read_boot_id() -> Option<String> {
     for _ in 0..READ_ATTEMPTS {
         match fs::read_to_string(BOOT_ID_FILE) {
--- a/crates/message-sender/src/notice.rs
+++ b/crates/message-sender/src/notice.rs
@@ -3,24 +3,24 @@
 use delivery_control::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A final outcome that the platform has yet to acknowledge.
+/// A message's final outcome that the platform has not acknowledged yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The message, as its client names it.
+    /// The client's id of the message.
     pub call_id: String,
-    /// Its final outcome.
+    /// The message's final outcome.
     pub result: NoticeResult,
 }
 
-/// The final outcome of a message that was not delivered. The journal stores variants by position: new ones
-/// go to the end.
+/// The final outcome of a message that was not delivered. The journal stores variants by position, so new
+/// ones must be added at the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoticeResult {
-    /// Given up; it may or may not have taken effect.
+    /// The message was given up and may or may not have taken effect.
     Failed,
-    /// It had no effect, or submitting it again is harmless.
+    /// The message had no effect, or submitting it again is harmless.
     Rejected {
-        /// When to submit it again; 0 for no advice.
+        /// Time in microseconds after which to submit the message again; 0 for no advice.
         retry_after: Micros,
     },
 }
--- a/crates/message-sender/src/transient.rs
+++ b/crates/message-sender/src/transient.rs
@@ -1,17 +1,17 @@
-//! Failures of system calls that may be gone a moment later, and how a start tries again.
+//! Classification of transient system errors, and retries of startup steps that fail with them.
 
 use std::io;
 use std::time::{Duration, Instant};
 
 use rustix::io::Errno;
 
-/// A start tries again for so long at most: a process has to be ready within 30 s.
-const START_LIMIT: Duration = Duration::from_secs(20);
-/// Pause before a step of a start is tried again.
+/// How long the steps of a startup are retried at most: a process must be ready within 30 s.
+const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(20);
+/// Pause before a failed startup step is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Errors that come of a shortage, an interruption or a device in trouble, and not of what was asked for.
-const TRANSIENT: [Errno; 14] = [
+/// Errors that a lack of resources, an interruption or a device failure causes, not the call's arguments.
+const TRANSIENT_ERRORS: [Errno; 14] = [
     Errno::AGAIN,
     Errno::BUSY,
     Errno::DQUOT,
@@ -28,13 +28,13 @@
     Errno::TIMEDOUT,
 ];
 
-/// Whether the same call may succeed a moment later.
+/// Whether the same call may succeed a moment later, because the error is transient.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
-    errno.is_some_and(|errno| TRANSIENT.contains(&errno))
+    errno.is_some_and(|errno| TRANSIENT_ERRORS.contains(&errno))
 }
 
-/// Whether this process, and not the other end of a connection, lacks what the call needs.
+/// Whether a call failed for lack of local resources or by an interruption, not because of the remote end.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     let shortages =
         [Errno::ADDRNOTAVAIL, Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
@@ -42,9 +42,9 @@
     errno.is_some_and(|errno| shortages.contains(&errno))
 }
 
-/// An error of which the cause may be gone a moment later.
+/// An error that may have a transient cause.
 pub trait MayBeTransient: std::error::Error {
-    /// Whether the same step may succeed then.
+    /// Whether the failed step may succeed a moment later.
     fn is_transient(&self) -> bool;
 }
 
@@ -54,25 +54,27 @@
     }
 }
 
-/// Tries the steps of a start again while they fail by what may pass, within the time that a start has.
+/// Retries the steps of a startup that fail with transient errors, up to a time limit.
 #[derive(Debug, Clone, Copy)]
 pub struct StartRetries {
+    /// When the startup began.
     started: Instant,
+    /// How long after that steps are still retried.
     limit: Duration,
 }
 
 impl StartRetries {
-    /// A start begins now.
+    /// Starts the time limit of a whole startup now.
     pub fn begin() -> Self {
-        Self::within(START_LIMIT)
+        Self::within(STARTUP_RETRY_LIMIT)
     }
 
-    /// Tries for no longer than this, from now on.
+    /// Retries for at most this long from now on.
     pub fn within(limit: Duration) -> Self {
         Self { started: Instant::now(), limit }
     }
 
-    /// Takes a step, again after each failure that may pass. `step` names it in the log.
+    /// Runs a step, and again after each transient error within the limit. `step` names it in the log.
     pub async fn run<T, E: MayBeTransient>(
         self,
         step: &'static str,
@@ -85,7 +87,7 @@
                 ended => return ended,
             };
             if !is_logged {
-                tracing::info!(step, %error, "start is tried again");
+                tracing::info!(step, %error, "startup step failed, retrying");
                 is_logged = true;
             }
             tokio::time::sleep(RETRY_PAUSE).await;
