--- a/crates/message-sender/src/handover/descriptor.rs
+++ b/crates/message-sender/src/handover/descriptor.rs
@@ -1,5 +1,5 @@
-//! Passes the listening socket of the clients from process to process. Connections in its queue stay there,
-//! whoever accepts them.
+//! Passes the listening socket for clients from one process to another. Connections in the socket's accept
+//! queue stay there until either process accepts them.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -16,16 +16,17 @@
 
 use super::error::HandoverError;
 
-/// The byte that carries the descriptor: without data no ancillary message is sent.
+/// The byte that is sent together with the descriptor: a stream socket sends no ancillary message without
+/// data.
 const LISTENER_MARK: u8 = b'L';
 
-/// Sends a descriptor of the listening socket.
+/// Sends the descriptor of the listening socket to the other process.
 pub async fn send_listener(stream: &UnixStream, listener: &TcpListener) -> Result<(), HandoverError> {
     let send = || send_descriptor(stream, listener);
     stream.async_io(Interest::WRITABLE, send).await.map_err(HandoverError::SendListener)
 }
 
-/// Receives the listening socket, however long it takes to come.
+/// Receives the listening socket from the other process, without a time limit.
 pub async fn receive_listener(stream: &UnixStream) -> Result<TcpListener, HandoverError> {
     let receive = || receive_descriptor(stream);
     let received = stream.async_io(Interest::READABLE, receive).await;
--- a/crates/message-sender/src/handover/listener.rs
+++ b/crates/message-sender/src/handover/listener.rs
@@ -21,9 +21,10 @@
 use super::stream::HandoverStream;
 use crate::serving_state::ServingStateControl;
 
-/// How long the predecessor stops deciding for a successor that does not go on.
+/// Time limit for a successor's hello, and for an offer up to the successor's confirmation. During an offer
+/// the predecessor makes no decisions.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a successor that failed: the cause, such as a lack of descriptors, may last.
+/// Pause after a failed handover request: its cause, such as a lack of descriptors, may persist.
 const FAILURE_PAUSE: Duration = Duration::from_millis(20);
 
 /// A process that requests to become the sender.
@@ -35,14 +36,15 @@
 }
 
 impl Successor {
-    /// Whether it requested the state beside the journal, and understands it.
+    /// Whether the successor requested the state in addition to the journal, with this process's protocol
+    /// version.
     pub fn reads_state(&self) -> bool {
         self.reads_state
     }
 
-    /// Offers it the state and the listening socket. It has read both when this returns, and nothing has
-    /// changed before the commit. Without a state it waits for this process to end, and clients are sent
-    /// away.
+    /// Offers the successor the listening socket and the state. With a state, this returns when the successor
+    /// has read both, and nothing changes for this process before the commit. Without a state, this process
+    /// stops serving clients, and the successor waits for its end.
     pub async fn offer(self, state: Option<HandoverState>) -> Result<HandoverStream, HandoverError> {
         match timeout(SUCCESSOR_TIMEOUT, self.send_offer(state)).await {
             Ok(offered) => offered,
@@ -63,23 +65,23 @@
     }
 }
 
-/// Gives up being the sender. If the commit cannot be written, the successor has died, and the relay will
-/// notice.
+/// Releases the lock and sends the commit, which makes the successor the sender. If the commit cannot be
+/// written, the successor has died, and the relay will notice.
 pub async fn commit(stream: &mut HandoverStream, lock: OwnershipLock) {
-    // The successor takes it as soon as it reads the commit.
+    // The successor takes the lock as soon as it has read the commit.
     drop(lock);
     if let Err(error) = write_frame(stream, &Commit).await {
         tracing::warn!(%error, "successor lost");
     }
 }
 
-/// Accepts successors, one at a time. Only the sender listens.
+/// Accepts connections of successors, one at a time. Only the sender listens for them.
 pub struct HandoverListener {
     socket: UnixListener,
 }
 
 impl HandoverListener {
-    /// Listens in this state folder and replaces the socket of an earlier process.
+    /// Binds the handover socket in this state folder, and replaces the socket of an earlier process.
     pub fn bind(folder: &Path) -> io::Result<Self> {
         let path = SocketPath::in_folder(folder)?;
         match std::fs::remove_file(path.as_path()) {
@@ -89,7 +91,7 @@
         Ok(Self { socket: UnixListener::bind(path.as_path())? })
     }
 
-    /// Accepts successors and passes them to the event loop.
+    /// Accepts successors and passes them to the event loop, until the receiver is dropped.
     pub async fn serve(
         self,
         listener: Rc<TcpListener>,
--- a/crates/message-sender/src/handover/ownership.rs
+++ b/crates/message-sender/src/handover/ownership.rs
@@ -1,4 +1,5 @@
-//! Who is the sender: the holder of the lock in the state folder, and how a process becomes it.
+//! Ownership of the state folder: the process that holds its lock is the sender. A process becomes the sender
+//! at its start, by a handover, or again after its successor has died.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -14,28 +15,29 @@
 use crate::transient::{is_transient, MayBeTransient, StartRetries};
 
 const LOCK_FILE: &str = "lock";
-/// Pause before the lock is tried again.
+/// Pause between two attempts to take the lock.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a process whose successor has died tries for the lock: the kernel releases it a moment later.
+/// How long a process whose successor has died tries to take the lock: the kernel releases it shortly after
+/// the successor's death.
 const REACQUIRE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a process cannot become the sender at all.
+/// An error because of which a process cannot become the sender at all.
 #[derive(Debug, thiserror::Error)]
 pub enum OwnershipError {
     /// The state folder does not exist and cannot be created.
     #[error("cannot create the state folder {}", path.display())]
     CreateFolder {
-        /// The folder.
+        /// The state folder.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The lock file cannot be opened, or the system cannot lock it.
     #[error("cannot lock {}", path.display())]
     Lock {
-        /// The file.
+        /// The lock file.
         path: PathBuf,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
@@ -47,7 +49,7 @@
     }
 }
 
-/// The right to be the sender, released when dropped.
+/// The lock that makes this process the sender; released when dropped.
 pub struct OwnershipLock {
     /// The system releases the lock when the file is closed.
     _file: File,
@@ -70,22 +72,23 @@
     }
 }
 
-/// Tries to take the lock, again where the system fails to say whether it is free.
+/// Tries to take the lock; `None` while another process holds it. Transient system errors are retried.
 async fn acquire_lock(folder: &Path) -> Result<Option<OwnershipLock>, OwnershipError> {
     StartRetries::begin().run("ownership lock", || OwnershipLock::try_acquire(folder)).await
 }
 
-/// What a process has that has become the sender.
+/// What a process has when it becomes the sender.
 pub struct Ownership {
-    /// The right to be the sender.
+    /// The lock that makes it the sender.
     pub lock: OwnershipLock,
-    /// The listening socket of the clients, where a predecessor passed it on.
+    /// The listening socket for clients, if a predecessor handed it over.
     pub listener: Option<TcpListener>,
-    /// The state of a predecessor that handed it over.
+    /// The predecessor's state, if it was handed over.
     pub inherited: Option<InheritedState>,
 }
 
-/// Becomes the sender: at once where there is none, else by a handover or when the current sender has ended.
+/// Becomes the sender: immediately if there is none, otherwise by a handover or when the current sender has
+/// ended. Creates the state folder if it does not exist.
 pub async fn acquire_ownership(folder: &Path, names: &Names) -> Result<Ownership, OwnershipError> {
     let retries = StartRetries::begin();
     let create_folder = || {
@@ -98,7 +101,8 @@
         if let Some(lock) = acquire_lock(folder).await? {
             return Ok(Ownership { lock, listener: acquisition.listener, inherited: None });
         }
-        // Once the predecessor drains for this process, only its end is left to wait for.
+        // A predecessor that has sent its listener without a state drains: it only remains to wait for its
+        // end.
         if acquisition.listener.is_none() {
             if let Some(ownership) = acquisition.request().await? {
                 return Ok(ownership);
@@ -108,8 +112,8 @@
     }
 }
 
-/// Becomes the sender again after the successor has died. `None` if another process is the sender by now: two
-/// processes of the old version must not hand the work back and forth.
+/// Becomes the sender again after the successor has died. `None` if another process has become the sender in
+/// the meantime: two processes of the old version must not hand the work back and forth.
 pub async fn reacquire_ownership(folder: &Path) -> Result<Option<Ownership>, OwnershipError> {
     let started = Instant::now();
     while started.elapsed() < REACQUIRE_TIMEOUT {
@@ -121,29 +125,30 @@
     Ok(None)
 }
 
-/// The progress of a process that is not the sender yet.
+/// The state of a process that tries to become the sender.
 struct Acquisition<'a> {
     folder: &'a Path,
     names: &'a Names,
+    /// What the next request asks for.
     transfer: RequestedTransfer,
     /// The listening socket of a predecessor that drains for this process.
     listener: Option<TcpListener>,
-    /// The last error logged, so that a repeated one is logged once.
-    logged_error: String,
+    /// The text of the last error that was logged, so that an error that repeats is logged only once.
+    last_logged_error: String,
 }
 
 impl<'a> Acquisition<'a> {
     fn new(folder: &'a Path, names: &'a Names) -> Self {
         let transfer = RequestedTransfer::State;
-        Self { folder, names, transfer, listener: None, logged_error: String::new() }
+        Self { folder, names, transfer, listener: None, last_logged_error: String::new() }
     }
 
-    /// Requests a handover once. `None` if this process has not become the sender by it.
+    /// Requests a handover once. `None` if this process has not become the sender through it.
     async fn request(&mut self) -> Result<Option<Ownership>, OwnershipError> {
         let granted = match request_handover(self.folder, self.names, self.transfer).await {
             Ok(granted) => granted,
             Err(error) => {
-                self.note_failure(&error);
+                self.handle_failure(&error);
                 return Ok(None);
             }
         };
@@ -158,13 +163,14 @@
         Ok(Some(Ownership { lock, listener: Some(granted.listener), inherited: Some(inherited) }))
     }
 
-    fn note_failure(&mut self, error: &HandoverError) {
+    /// Logs the error, and from now on requests only the journal if the state cannot be used.
+    fn handle_failure(&mut self, error: &HandoverError) {
         let text = error.to_string();
-        if self.logged_error != text {
+        if self.last_logged_error != text {
             tracing::info!(%error, "no handover yet");
-            self.logged_error = text;
+            self.last_logged_error = text;
         }
-        if error.is_about_state() {
+        if error.makes_state_unusable() {
             self.transfer = RequestedTransfer::JournalOnly;
         }
     }
--- a/crates/message-sender/src/handover/protocol.rs
+++ b/crates/message-sender/src/handover/protocol.rs
@@ -11,37 +11,39 @@
 use super::state::HandoverState;
 use super::stream::HandoverStream;
 
-/// Changes with the fields of the state and with the frames that two processes exchange after the commit.
+/// The version of the handover protocol. It must change whenever the fields of the state change, or the
+/// frames that two processes exchange after the commit.
 pub const PROTOCOL_VERSION: u32 = 3;
-/// In bytes. The state of some hundred messages, or one message with its body, is far shorter.
+/// Maximum length of a frame, in bytes. The state with some hundred messages, or one message with its body,
+/// is far shorter.
 const MAX_FRAME_LENGTH: usize = 16 * 1024 * 1024;
 
-/// What is sent as a frame.
+/// A value that is sent as a frame.
 pub trait Frame {
-    /// What errors call it.
+    /// The name of the frame in error messages.
     const NAME: &'static str;
 }
 
 /// The successor's first frame.
 #[derive(Serialize, Deserialize)]
 pub struct Hello {
-    /// The protocol version that the successor understands; `None` where only the journal is of use to it.
+    /// The protocol version that the successor supports; `None` if it can use only the journal.
     #[serde(rename = "relay")]
     pub protocol_version: Option<u32>,
 }
 
-/// The predecessor's answer, which follows its listening socket.
+/// The predecessor's answer to the hello, sent after its listening socket.
 #[derive(Serialize, Deserialize)]
 pub struct Offer {
-    /// `None` where the predecessor drains and only its journal is left to read.
+    /// The predecessor's state; `None` if the predecessor drains and leaves only its journal.
     pub state: Option<HandoverState>,
 }
 
-/// The successor has read the offered state.
+/// The successor's confirmation that it has read the offered state.
 #[derive(Serialize, Deserialize)]
 pub struct Prepared;
 
-/// The predecessor is the sender no more.
+/// The predecessor's notification that it has released the lock and is no longer the sender.
 #[derive(Serialize, Deserialize)]
 pub struct Commit;
 
@@ -61,7 +63,7 @@
     const NAME: &'static str = "commit frame";
 }
 
-/// Writes a frame with its length in front.
+/// Writes a frame, preceded by its length.
 pub async fn write_frame<T: Frame + Serialize>(
     writer: &mut (impl AsyncWrite + Unpin),
     frame: &T,
@@ -75,7 +77,7 @@
     writer.write_all(&payload).await.map_err(write_error)
 }
 
-/// Reads a frame with its length in front.
+/// Reads a frame, preceded by its length. Fails if the frame is longer than [`MAX_FRAME_LENGTH`].
 pub async fn read_frame<T: Frame + DeserializeOwned>(
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<T, HandoverError> {
@@ -89,7 +91,7 @@
     rmp_serde::from_slice(&payload).map_err(|source| HandoverError::Decode { frame: T::NAME, source })
 }
 
-/// Reads a frame that has to come within this time.
+/// Reads a frame, and fails if that takes longer than `limit`.
 pub async fn read_frame_within<T: Frame + DeserializeOwned>(
     stream: &mut HandoverStream,
     limit: Duration,
--- a/crates/message-sender/src/handover/relay/mod.rs
+++ b/crates/message-sender/src/handover/relay/mod.rs
@@ -1,5 +1,5 @@
-//! Between two processes after a handover: the predecessor relays what it still reads from its clients and
-//! how its attempts end; the successor, the sender now, decides and answers.
+//! The relay between two processes after a handover. The predecessor relays the submissions of its clients
+//! and the results of its attempts; the successor, now the sender, decides and replies.
 
 mod predecessor;
 mod successor;
@@ -13,27 +13,28 @@
 use crate::event::FinishedAttempt;
 use crate::submission::{Submission, SubmissionReply};
 
-/// Frames that wait to be written, or to be handled.
+/// Capacity of each queue of frames: those that the predecessor has read and not handled yet, and those that
+/// the successor has yet to write.
 const FRAME_QUEUE_CAPACITY: usize = 256;
 
-/// What the predecessor sends.
+/// A frame from the predecessor.
 #[derive(Serialize, Deserialize)]
 enum PredecessorFrame {
-    /// A message that a client submits, under a number that the answer names.
+    /// A client has submitted a message. The reply refers to the submission by this number.
     Submitted(u64, Box<Submission>),
     /// An attempt that was in flight at the handover has ended.
     AttemptEnded(FinishedAttempt),
-    /// So many client connections are still open there.
+    /// The number of client connections that the predecessor has open.
     OpenConnections(usize),
 }
 
-/// What the successor sends.
+/// A frame from the successor.
 #[derive(Serialize, Deserialize)]
 enum SuccessorFrame {
     /// The reply to the submission with this number.
     Answered(u64, SubmissionReply),
-    /// The attempt is to be called off. Also sent for one that has ended, which the predecessor then passes
-    /// over.
+    /// The attempt is to be cancelled. Also sent for an attempt that has ended; the predecessor ignores it
+    /// then.
     Cancel(AttemptId),
 }
 
--- a/crates/message-sender/src/handover/relay/predecessor.rs
+++ b/crates/message-sender/src/handover/relay/predecessor.rs
@@ -1,4 +1,5 @@
-//! The predecessor's side of the relay.
+//! The predecessor's side of the relay: it passes events on to the successor, and the successor's replies to
+//! its clients.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -16,41 +17,44 @@
 use crate::handover::stream::{HandoverStream, HandoverWriter};
 use crate::submission::{Submission, SubmissionReply};
 
-/// How often the predecessor checks whether its part is over, and counts its connections.
+/// How often the predecessor checks whether its part is finished, and counts its connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How the predecessor's part ends.
 pub enum RelayEnd {
-    /// Nothing is left to do.
-    Over,
+    /// The process is to end: nothing is left to relay, or it is shutting down and can wait no longer.
+    Finished,
     /// The successor has died. These are the events that it may not have received.
-    Orphaned(Vec<SenderEvent>),
+    SuccessorDied(Vec<SenderEvent>),
 }
 
-/// A client's request that the successor has yet to answer.
+/// A submission that the successor has yet to answer.
 struct PendingSubmission {
     submission: Box<Submission>,
     reply: oneshot::Sender<SubmissionReply>,
 }
 
-/// A process that has handed over and still has attempts in flight, and clients.
+/// A process that has handed over, and may still have attempts in flight and clients.
 pub struct Predecessor {
     writer: HandoverWriter,
-    /// Ends with the successor.
+    /// The successor's frames; the channel closes when the successor has died.
     frames: mpsc::Receiver<SuccessorFrame>,
-    /// Attempts in flight; dropping one cancels it.
+    /// The attempts in flight with their cancellation handles; dropping a handle cancels the attempt.
     in_flight: HashMap<AttemptId, oneshot::Sender<()>>,
+    /// The submissions that have no reply yet, by number.
     pending: HashMap<u64, PendingSubmission>,
-    last_submission: u64,
+    /// The number of the last submission; 0 before the first.
+    last_submission_number: u64,
+    /// When the shutdown of this process was requested, if it was.
     shutdown_requested_at: Option<Instant>,
-    /// The attempts in flight have been cancelled because the time after SIGTERM is up.
-    cut_off: bool,
-    /// The number of connections that the successor knows of.
+    /// Whether the attempts in flight have been cancelled because [`DRAIN_DEADLINE`] has passed.
+    attempts_cancelled: bool,
+    /// The number of open connections that was last reported to the successor.
     reported_connections: Option<usize>,
 }
 
 impl Predecessor {
-    /// Goes on over the connection of the handover. `in_flight` are the attempts, each with its
+    /// Starts the relay over the connection of the handover. `in_flight` holds the attempts, each with its
     /// cancellation handle.
     pub fn new(
         stream: HandoverStream,
@@ -65,15 +69,15 @@
             frames,
             in_flight,
             pending: HashMap::new(),
-            last_submission: 0,
+            last_submission_number: 0,
             shutdown_requested_at,
-            cut_off: false,
+            attempts_cancelled: false,
             reported_connections: None,
         }
     }
 
-    /// Runs until no client and no attempt is left, or the time after SIGTERM is up, or the successor has
-    /// died.
+    /// Relays until no client and no attempt is left, or [`DRAIN_DEADLINE`] has passed since the request to
+    /// shut down, or the successor has died.
     pub async fn run(
         mut self,
         inbox: &mut mpsc::Receiver<SenderEvent>,
@@ -88,19 +92,19 @@
                         self.handle(frame);
                         Ok(())
                     }
-                    None => return self.into_orphaned(inbox).await,
+                    None => return self.end_without_successor(inbox).await,
                 },
                 _ = poll.tick() => {
-                    if self.is_over(limiter) {
-                        self.leave_undetermined();
-                        return RelayEnd::Over;
+                    if self.is_finished(limiter) {
+                        self.reply_undetermined();
+                        return RelayEnd::Finished;
                     }
                     self.report_connections(limiter.open_connections()).await
                 }
             };
             if let Err(error) = relayed {
                 tracing::warn!(%error, "successor lost");
-                return self.into_orphaned(inbox).await;
+                return self.end_without_successor(inbox).await;
             }
         }
     }
@@ -116,22 +120,23 @@
                 self.shutdown_requested_at = self.shutdown_requested_at.or(Some(Instant::now()));
                 return Ok(());
             }
-            // The successor watches for itself, and sends again the notices whose acknowledgement it has not
-            // seen.
+            // The successor watches discovery itself, and sends the notices again whose acknowledgement it
+            // has not received.
             SenderEvent::EndpointListReceived(_) | SenderEvent::NoticesAcknowledged(_) => return Ok(()),
         };
         write_frame(self.writer.stream(), &frame).await
     }
 
+    /// Keeps the submission with the client's channel for the reply, and makes the frame for the successor.
     fn register(
         &mut self,
         submission: Box<Submission>,
         reply: oneshot::Sender<SubmissionReply>,
     ) -> PredecessorFrame {
-        self.last_submission += 1;
+        self.last_submission_number += 1;
         let pending = PendingSubmission { submission: submission.clone(), reply };
-        self.pending.insert(self.last_submission, pending);
-        PredecessorFrame::Submitted(self.last_submission, submission)
+        self.pending.insert(self.last_submission_number, pending);
+        PredecessorFrame::Submitted(self.last_submission_number, submission)
     }
 
     async fn report_connections(&mut self, open: usize) -> Result<(), HandoverError> {
@@ -146,7 +151,7 @@
         match frame {
             SuccessorFrame::Answered(number, answer) => {
                 if let Some(pending) = self.pending.remove(&number) {
-                    // A client that has disconnected submits its message again.
+                    // Fails if the client has disconnected; it submits its message again.
                     let _ = pending.reply.send(answer);
                 }
             }
@@ -156,53 +161,56 @@
         }
     }
 
-    /// When the time after SIGTERM is up it cancels the attempts in flight, and stays until the next poll so
-    /// that their ends are relayed.
-    fn is_over(&mut self, limiter: &ConnectionLimiter) -> bool {
+    /// Whether the predecessor's part is finished. The first call after [`DRAIN_DEADLINE`] cancels the
+    /// attempts in flight. While clients are left, only the next call ends the relay, so that the ends of
+    /// these attempts are relayed in between.
+    fn is_finished(&mut self, limiter: &ConnectionLimiter) -> bool {
         if self.shutdown_requested_at.is_some_and(|since| since.elapsed() >= DRAIN_DEADLINE) {
-            if self.cut_off {
+            if self.attempts_cancelled {
                 return true;
             }
-            self.cut_off = true;
+            self.attempts_cancelled = true;
             self.in_flight.clear();
         }
         self.in_flight.is_empty() && self.pending.is_empty() && limiter.open_connections() == 0
     }
 
-    /// Answers the clients whose messages the successor may have journalled: the next process delivers those,
-    /// so they must not be submitted again.
-    fn leave_undetermined(&mut self) {
+    /// Replies [`SubmissionReply::Undetermined`] to the clients that still wait. The successor may have
+    /// journalled their messages, which the next process then delivers, so they must not be submitted again.
+    fn reply_undetermined(&mut self) {
         for (_, pending) in self.pending.drain() {
-            // A client that is gone needs no reply.
+            // Fails if the client has disconnected; it needs no reply.
             let _ = pending.reply.send(SubmissionReply::Undetermined);
         }
     }
 
-    /// Ends the attempts in flight first: otherwise a message could have two at once when the journal is read
-    /// again.
-    async fn into_orphaned(mut self, inbox: &mut mpsc::Receiver<SenderEvent>) -> RelayEnd {
+    /// Ends the relay after the successor's death. Unless a shutdown has been requested, cancels the attempts
+    /// in flight and waits for their ends: otherwise a message could have two attempts in flight at once
+    /// after the journal has been read again.
+    async fn end_without_successor(mut self, inbox: &mut mpsc::Receiver<SenderEvent>) -> RelayEnd {
         if self.shutdown_requested_at.is_some() {
-            self.leave_undetermined();
-            return RelayEnd::Over;
+            self.reply_undetermined();
+            return RelayEnd::Finished;
         }
         let mut events = Vec::new();
         for pending in self.pending.into_values() {
             events.push(SenderEvent::Submitted(pending.submission, pending.reply));
         }
-        // Drops the senders, which cancels the attempts.
+        // Drops the cancellation handles, which cancels the attempts.
         let mut in_flight: BTreeSet<AttemptId> = self.in_flight.into_keys().collect();
         while !in_flight.is_empty() {
-            let Some(event) = inbox.recv().await else { return RelayEnd::Over };
+            let Some(event) = inbox.recv().await else { return RelayEnd::Finished };
             if let SenderEvent::AttemptEnded(finished) = &event {
                 in_flight.remove(&finished.attempt_id);
             }
             events.push(event);
         }
-        RelayEnd::Orphaned(events)
+        RelayEnd::SuccessorDied(events)
     }
 }
 
-/// Ends, and closes the channel, when the successor has died or sent what cannot be read.
+/// Passes the successor's frames on. Returns, which closes the channel, when the successor has died or has
+/// sent a frame that cannot be read.
 async fn read_frames(mut reader: HandoverStream, sender: mpsc::Sender<SuccessorFrame>) {
     while let Ok(frame) = read_frame(&mut reader).await {
         if sender.send(frame).await.is_err() {
--- a/crates/message-sender/src/handover/relay/successor.rs
+++ b/crates/message-sender/src/handover/relay/successor.rs
@@ -1,4 +1,5 @@
-//! The successor's side of the relay.
+//! The successor's side of the relay: it passes the predecessor's events to the event loop, and replies and
+//! cancellations to the predecessor.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -16,14 +17,14 @@
 
 /// An attempt that the predecessor has in flight.
 pub struct RemoteCall {
-    /// Which attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// Ends when the event loop drops its end, which cancels the attempt.
+    /// Completes when the event loop drops the sending side, which cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Brings what the predecessor relays to the event loop, and the event loop's answers and cancellations to
-/// it.
+/// Starts the tasks that pass the predecessor's events to the event loop (`inbox`), and the event loop's
+/// replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's connections.
 pub fn relay_predecessor(
     stream: HandoverStream,
     remote_calls: Vec<RemoteCall>,
@@ -42,9 +43,10 @@
 }
 
 async fn relay_cancellation(call: RemoteCall, outgoing: mpsc::Sender<SuccessorFrame>) {
-    // The event loop drops its end; also when the attempt has ended, which the predecessor then passes over.
+    // Completes when the event loop drops the sending side. It does so also when the attempt has ended; the
+    // predecessor ignores the cancellation then.
     let _ = call.cancelled.await;
-    // Fails with the predecessor's end, which ends the attempt too.
+    // Fails if the predecessor has ended, and the attempt with it.
     let _ = outgoing.send(SuccessorFrame::Cancel(call.attempt)).await;
 }
 
@@ -54,7 +56,7 @@
     outgoing: mpsc::Sender<SuccessorFrame>,
 ) {
     if let Ok(reply) = reply.await {
-        // Fails with the predecessor's end, and the client's connection ended with that.
+        // Fails if the predecessor has ended, and the client's connection with it.
         let _ = outgoing.send(SuccessorFrame::Answered(number, reply)).await;
     }
 }
@@ -67,10 +69,10 @@
     }
 }
 
-/// Receives what the predecessor relays, until its end.
+/// Reads the predecessor's frames until the predecessor ends, and passes them to the event loop.
 struct PredecessorReceiver {
     reader: HandoverStream,
-    /// The predecessor's attempts whose end has not come yet.
+    /// The predecessor's attempts whose end has not been relayed yet.
     in_flight: BTreeSet<AttemptId>,
     outgoing: mpsc::Sender<SuccessorFrame>,
     inbox: mpsc::Sender<SenderEvent>,
@@ -110,7 +112,7 @@
         SenderEvent::Submitted(submission, sender)
     }
 
-    /// The connections of the predecessor's attempts ended with it.
+    /// Reports the attempts that are left as reset: their connections ended with the predecessor.
     async fn reset_attempts(self) {
         for attempt_id in self.in_flight {
             let event = SenderEvent::AttemptEnded(FinishedAttempt {
--- a/crates/message-sender/src/handover/request.rs
+++ b/crates/message-sender/src/handover/request.rs
@@ -15,35 +15,36 @@
 use super::state::HandoverState;
 use super::stream::HandoverStream;
 
-/// How long the successor waits for each frame of the predecessor.
+/// How long the successor waits for the listening socket, and for each frame of the predecessor.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a successor requests.
+/// What a successor requests from the predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestedTransfer {
-    /// The state beside the journal.
+    /// The state, in addition to the journal.
     State,
-    /// The journal alone, as soon as the predecessor has drained.
+    /// Only the journal, once the predecessor has drained.
     JournalOnly,
 }
 
-/// The state of a predecessor, which still has attempts in flight and clients.
+/// The state of a predecessor that may still have attempts in flight and clients.
 pub struct InheritedState {
-    /// What it knew at the commit.
+    /// The predecessor's state at the commit.
     pub state: Box<HandoverState>,
-    /// The connection to it, for the relay.
+    /// The connection to the predecessor, for the relay.
     pub stream: HandoverStream,
 }
 
-/// What a predecessor grants.
+/// What a successor receives from its predecessor.
 pub struct GrantedHandover {
-    /// The listening socket of the clients.
+    /// The listening socket for clients.
     pub listener: TcpListener,
-    /// The state of a predecessor that has committed; `None` for one that drains.
+    /// The predecessor's state if it has committed; `None` if it drains.
     pub inherited: Option<InheritedState>,
 }
 
-/// Requests a handover from the current sender. It has released the lock if this returns an inherited state.
+/// Requests a handover from the current sender. If the result has an inherited state, the current sender has
+/// released the lock.
 pub async fn request_handover(
     folder: &Path,
     names: &Names,
@@ -64,7 +65,7 @@
         return Err(HandoverError::DifferentNames);
     }
     write_frame(&mut stream, &Prepared).await?;
-    // Without a commit the predecessor is still the sender or has died; the lock shows which.
+    // Without a commit, the predecessor either is still the sender or has died; the lock shows which.
     let Commit = read_frame_within(&mut stream, RESPONSE_TIMEOUT).await?;
     Ok(GrantedHandover { listener, inherited: Some(InheritedState { state, stream }) })
 }
--- a/crates/message-sender/src/handover/socket_path.rs
+++ b/crates/message-sender/src/handover/socket_path.rs
@@ -1,4 +1,4 @@
-//! Where the handover socket lies in the file system.
+//! The path of the handover socket in the file system.
 
 use std::fs::File;
 use std::io;
@@ -7,19 +7,21 @@
 use std::path::{Path, PathBuf};
 
 const SOCKET_FILE: &str = "handover";
-/// In bytes. The system takes no longer path for a socket.
+/// Maximum length in bytes of a path that is used as it is. The system limits the path of a Unix socket to
+/// 108 bytes.
 const MAX_SOCKET_PATH_LENGTH: usize = 100;
 
-/// A path by which the handover socket of a state folder can be bound and connected to while this value
-/// lives.
+/// A path for binding and connecting to the handover socket of a state folder, valid as long as this value
+/// exists.
 pub struct SocketPath {
     path: PathBuf,
-    /// The folder of a path that is too long, which then goes by way of this descriptor.
+    /// The open state folder, if its own path is too long: `path` then leads through this descriptor.
     _folder: Option<File>,
 }
 
 impl SocketPath {
-    /// The path of the socket in this state folder.
+    /// Makes the path of the socket in this state folder. A path that would be too long is replaced by one
+    /// through `/proc/self/fd`.
     pub fn in_folder(folder: &Path) -> io::Result<Self> {
         let path = folder.join(SOCKET_FILE);
         if path.as_os_str().as_bytes().len() <= MAX_SOCKET_PATH_LENGTH {
@@ -30,7 +32,7 @@
         Ok(Self { path, _folder: Some(folder) })
     }
 
-    /// The path itself.
+    /// Returns the path.
     pub fn as_path(&self) -> &Path {
         &self.path
     }
--- a/crates/message-sender/src/handover/state.rs
+++ b/crates/message-sender/src/handover/state.rs
@@ -7,20 +7,21 @@
 use crate::attempt_id::AttemptId;
 use crate::endpoint_registry::RegistrySnapshot;
 
-/// What a sender knows between two turns beyond its journal. The field names are part of the protocol:
-/// another name needs another [`PROTOCOL_VERSION`](super::protocol::PROTOCOL_VERSION).
+/// The state of a sender between two turns, apart from its journal. The field names are part of the protocol:
+/// renaming a field requires a new [`PROTOCOL_VERSION`](super::protocol::PROTOCOL_VERSION).
 #[derive(Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The predecessor's clock: the controller's time must not go back.
+    /// The time on the predecessor's clock, in microseconds. The successor's clock continues from it: the
+    /// controller's time must not go back.
     pub now: Micros,
-    /// What the indices in the state stand for.
+    /// The names of the classes, tenants, kinds and zones that the indices in the state stand for.
     pub names: Names,
-    /// The decision logic with all that it has counted and scheduled.
+    /// The decision logic with all of its counters and schedules.
     pub controller: Controller,
-    /// The endpoints under the identifiers that the controller knows them by.
+    /// The endpoints, with the ids by which the controller knows them.
     pub registry: RegistrySnapshot,
-    /// The controller's timers: when each is due, and its token.
+    /// The controller's timers: when each is due, on the same clock as `now`, and its token.
     pub timers: Vec<(Micros, u64)>,
-    /// Attempts in flight, which the predecessor sees to their end.
+    /// The attempts in flight, which the predecessor continues until they end.
     pub in_flight: Vec<AttemptId>,
 }
--- a/crates/message-sender/src/handover/stream.rs
+++ b/crates/message-sender/src/handover/stream.rs
@@ -1,4 +1,4 @@
-//! The connection between two processes of a handover.
+//! The connection between the two processes of a handover.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,19 +12,19 @@
 
 use crate::instrumented_stream::is_to_be_repeated;
 
-/// A connection whose reads and writes go on after an interruption, which the runtime's own do not, and which
-/// takes a short read for what it is: more may have arrived already.
+/// A connection that, unlike the runtime's own streams, retries reads and writes that were interrupted, and
+/// does not conclude from a short read that no more data has arrived.
 pub struct HandoverStream {
     stream: Rc<UnixStream>,
 }
 
 impl HandoverStream {
-    /// The socket itself, for its descriptors.
+    /// The underlying socket, over which descriptors are passed.
     pub fn socket(&self) -> &UnixStream {
         &self.stream
     }
 
-    /// The two directions, to be used apart.
+    /// Splits the connection into its reading and its writing side, for separate tasks.
     pub fn split(self) -> (HandoverStream, HandoverWriter) {
         let writer = HandoverWriter { stream: Self { stream: self.stream.clone() } };
         (self, writer)
@@ -77,7 +77,7 @@
     }
 }
 
-/// The direction to the other process, which sees its end when this is dropped.
+/// The writing side of a connection. When it is dropped, the other process reads the end of the stream.
 pub struct HandoverWriter {
     stream: HandoverStream,
 }
@@ -91,7 +91,7 @@
 
 impl Drop for HandoverWriter {
     fn drop(&mut self) {
-        // Fails only where the connection has ended.
+        // Fails only if the connection has ended.
         let _ = SockRef::from(self.stream.socket()).shutdown(Shutdown::Write);
     }
 }
--- a/crates/message-sender/src/process/error.rs
+++ b/crates/message-sender/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why a sender process can't go on.
+//! Errors that end a sender process.
 
 use std::io;
 
@@ -8,31 +8,31 @@
 use crate::handover::OwnershipError;
 use crate::journal::JournalError;
 
-/// Why a sender process can't go on.
+/// An error that ends a sender process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// No handler could be installed for a signal.
+    /// The handler of a signal could not be installed.
     #[error("signal handlers cannot be installed")]
     Signals(#[source] io::Error),
     /// The listener for operators could not be bound.
-    #[error("the management address cannot be listened at")]
+    #[error("the management address cannot be bound")]
     ManagementAddress(#[source] io::Error),
     /// The listener for clients could not be bound.
-    #[error("the listening address cannot be listened at")]
+    #[error("the listening address cannot be bound")]
     ListeningAddress(#[source] io::Error),
-    /// The ownership lock of the state directory could not be taken.
-    #[error("the state directory cannot be used")]
-    StateDirectory(#[source] OwnershipError),
+    /// The state folder could not be created, or its ownership lock could not be taken.
+    #[error("the state folder cannot be used")]
+    StateFolder(#[source] OwnershipError),
     /// The journal could not be opened.
     #[error("the journal cannot be opened")]
     Journal(#[from] JournalError),
-    /// The configuration is not accepted.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The controller does not accept the settings.
+    /// The controller rejects the settings.
     #[error("the settings are not valid")]
     Settings(#[from] SettingsError),
-    /// A listening socket failed.
+    /// A listening socket could not be duplicated, configured or passed to the runtime.
     #[error("a listening socket cannot be used")]
     Socket(#[source] io::Error),
 }
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -1,5 +1,5 @@
-//! The life of a sender process: it acquires the ownership of the state directory, serves as the sender,
-//! hands over to a successor, and takes the work back if that dies.
+//! The life cycle of a sender process: it acquires the ownership of the state folder, serves as the sender,
+//! hands over to a successor, and takes the work back if the successor dies.
 
 mod error;
 mod startup;
@@ -38,17 +38,17 @@
 use crate::transient::StartRetries;
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// For how long a start waits for a configuration that cannot be read, or is half written.
-const CONFIGURATION_LIMIT: Duration = Duration::from_secs(2);
-/// Pause before the handover socket is bound again.
+/// How long a start keeps reading a configuration that cannot be read for the moment, or is half written.
+const CONFIGURATION_RETRY_LIMIT: Duration = Duration::from_secs(2);
+/// Pause before another attempt to bind the handover socket.
 const HANDOVER_BIND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Runs a sender process until it is asked to end, or a successor has taken everything over.
+/// Runs a sender process until it is shut down, or a successor has taken over and nothing is left to relay.
 pub async fn run() -> Result<(), ProcessError> {
     let retries = StartRetries::begin();
-    // Before anything else: until then a signal ends the process.
+    // Comes first: until the handlers are installed, a signal ends the process.
     let signals = retries.run("signal handlers", Signals::install).await.map_err(ProcessError::Signals)?;
-    let configuration_retries = StartRetries::within(CONFIGURATION_LIMIT);
+    let configuration_retries = StartRetries::within(CONFIGURATION_RETRY_LIMIT);
     let config = configuration_retries.run("configuration", Config::from_environment).await?;
     let mut process = SenderProcess::start(config, signals, retries).await?;
     if let Some(ownership) = process.acquire_ownership().await? {
@@ -58,13 +58,13 @@
     Ok(())
 }
 
-/// What the process has in all its phases, whether it is the sender or not.
+/// The parts that the process keeps throughout its life, whether it is the sender or not.
 struct SenderProcess {
     config: Config,
-    /// Where discovery is; follows the configuration file.
+    /// The address of discovery, which changes when the configuration file is read again.
     discovery: watch::Receiver<SocketAddr>,
     serving_state: Rc<ServingStateControl>,
-    /// Whether messages can be accepted.
+    /// Whether this process can accept messages.
     ready: Rc<Cell<bool>>,
     metrics: Rc<Metrics>,
     invariants: Rc<InvariantMonitor>,
@@ -79,18 +79,18 @@
 }
 
 impl SenderProcess {
-    /// Becomes the sender. `None` if the process is asked to end before that.
+    /// Becomes the sender. `None` if a shutdown is requested before that.
     async fn acquire_ownership(&self) -> Result<Option<Ownership>, ProcessError> {
         let mut serving_state = self.serving_state.subscribe();
         tokio::select! {
             ownership = handover::acquire_ownership(&self.config.state, &self.config.names) => {
-                ownership.map(Some).map_err(ProcessError::StateDirectory)
+                ownership.map(Some).map_err(ProcessError::StateFolder)
             }
             _ = serving_state.wait_for(|state| *state == ServingState::ShuttingDown) => Ok(None),
         }
     }
 
-    /// Serves as the sender, and again each time that a successor dies, until the process is to end.
+    /// Serves as the sender, and does so again each time that a successor dies, until the process is to end.
     async fn serve_while_owner(&mut self, ownership: Ownership) -> Result<(), ProcessError> {
         let mut ownership = ownership;
         let mut missed_events = Vec::new();
@@ -100,25 +100,27 @@
             let served = self.serve(ownership, &listener, std::mem::take(&mut missed_events)).await?;
             let Some(predecessor) = served else { return Ok(()) };
             match predecessor.run(&mut self.events, &self.limiter).await {
-                RelayEnd::Over => return Ok(()),
-                RelayEnd::Orphaned(events) => missed_events = events,
+                RelayEnd::Finished => return Ok(()),
+                RelayEnd::SuccessorDied(events) => missed_events = events,
             }
             let reacquired = handover::reacquire_ownership(&self.config.state).await;
-            let Some(reacquired) = reacquired.map_err(ProcessError::StateDirectory)? else {
-                leave_undetermined(missed_events);
+            let Some(reacquired) = reacquired.map_err(ProcessError::StateFolder)? else {
+                reply_undetermined(missed_events);
                 return Ok(());
             };
             tracing::warn!("successor died, taking the work back");
-            let share = || listener.try_clone();
-            let listener = retries.run("listener for clients", share).await.map_err(ProcessError::Socket)?;
+            let duplicate = || listener.try_clone();
+            let listener =
+                retries.run("listener for clients", duplicate).await.map_err(ProcessError::Socket)?;
             ownership = Ownership { listener: Some(listener), ..reacquired };
             self.delivery.resume();
             self.serving_state.resume();
         }
     }
 
-    /// The clients' listener: the predecessor's, or one of this process. Comes before the journal is opened:
-    /// an older version that knows no ownership lock would hold the address, and write the journal.
+    /// Returns the listening socket for clients: the predecessor's, or a new one. Must be called before the
+    /// journal is opened: an older version without the ownership lock may still write the journal, and it
+    /// holds the address, so that binding fails.
     async fn bind_client_listener(
         &self,
         inherited: Option<net::TcpListener>,
@@ -135,7 +137,7 @@
     }
 
     /// Serves as the sender. Returns this process's side of the relay once a successor has taken over, or
-    /// `None` when the process is to end.
+    /// `None` once the process is to end.
     async fn serve(
         &mut self,
         ownership: Ownership,
@@ -145,15 +147,15 @@
         let notices = Rc::new(NoticeQueue::default());
         let retries = StartRetries::begin();
         let mut event_loop = self.new_event_loop(ownership.lock, notices.clone(), retries).await?;
-        // Before the first connection is accepted: to answer at all means to be ready.
+        // Precedes the first connection that is accepted: a process that answers counts as ready.
         match ownership.inherited {
-            Some(inherited) => self.continue_predecessor(&mut event_loop, inherited)?,
+            Some(inherited) => self.continue_from_predecessor(&mut event_loop, inherited)?,
             None => event_loop.recover(self.config.known.clone()),
         }
         event_loop.replay_missed_events(missed_events);
 
-        let share = || listener.try_clone().and_then(TcpListener::from_std);
-        let accepting = retries.run("accepting socket", share).await.map_err(ProcessError::Socket)?;
+        let duplicate = || listener.try_clone().and_then(TcpListener::from_std);
+        let accepting = retries.run("accepting socket", duplicate).await.map_err(ProcessError::Socket)?;
         let listen = accepting.local_addr().map_err(ProcessError::Socket)?;
         let mut owner_tasks = self.spawn_owner_tasks(listener, accepting, notices);
         self.ready.set(true);
@@ -173,8 +175,9 @@
         Ok(Some(predecessor))
     }
 
-    /// Restores a predecessor's state, and receives what its clients and attempts still bring.
-    fn continue_predecessor(
+    /// Restores a predecessor's state, and starts to receive the submissions and the ends of attempts that
+    /// the predecessor relays.
+    fn continue_from_predecessor(
         &self,
         event_loop: &mut EventLoop,
         inherited: InheritedState,
@@ -209,7 +212,7 @@
         }))
     }
 
-    /// Starts all that only the sender may do; it ends when the set is dropped.
+    /// Starts the tasks that only the sender may run. They end when the set is dropped.
     fn spawn_owner_tasks(
         &self,
         listener: &Rc<net::TcpListener>,
@@ -217,7 +220,8 @@
         notices: Rc<NoticeQueue>,
     ) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        // At once, if it can be: a successor may come as soon as this process is ready.
+        // The first attempt to bind is made here, not in the task: a successor may connect as soon as this
+        // process is ready.
         tasks.spawn_local(serve_handovers(
             HandoverListener::bind(&self.config.state),
             self.config.state.clone(),
@@ -236,9 +240,9 @@
         tasks
     }
 
-    /// Waits for the last replies to reach their clients.
+    /// Waits until the last replies have reached their clients, for at most [`FINAL_REPLY_TIMEOUT`].
     async fn finish(self) {
-        // Clients whose submission nobody will decide on get an error for a reply.
+        // Closes the queue: clients whose submissions will not be decided on get an error as their reply.
         drop(self.events);
         if timeout(FINAL_REPLY_TIMEOUT, self.limiter.wait_until_quiet()).await.is_err() {
             self.invariants.report_connection(Invariant::RequestIsAnswered);
@@ -251,19 +255,19 @@
     }
 }
 
-/// Answers clients whose messages a successor that has died may have journalled, now that a third process is
-/// the sender: they must not be submitted again.
-fn leave_undetermined(missed_events: Vec<SenderEvent>) {
+/// Replies [`SubmissionReply::Undetermined`] to the clients that still wait, now that a third process is the
+/// sender. A successor that has died may have journalled their messages, so they must not be submitted again.
+fn reply_undetermined(missed_events: Vec<SenderEvent>) {
     for event in missed_events {
         if let SenderEvent::Submitted(_, reply) = event {
-            // A client that is gone needs no reply.
+            // Fails if the client has disconnected; it needs no reply.
             let _ = reply.send(SubmissionReply::Undetermined);
         }
     }
 }
 
-/// Listens for successors and passes them to the event loop. A socket that cannot be bound is tried again:
-/// without one, no successor would ever become the sender.
+/// Listens for successors and passes them to the event loop. If the handover socket cannot be bound, this is
+/// retried: without the socket, no successor would ever become the sender.
 async fn serve_handovers(
     bound: io::Result<HandoverListener>,
     state: PathBuf,
--- a/crates/message-sender/src/process/startup.rs
+++ b/crates/message-sender/src/process/startup.rs
@@ -1,4 +1,4 @@
-//! What every process starts, whether it is the sender or not.
+//! The start of the parts that every process has, whether it is the sender or not.
 
 use std::cell::Cell;
 use std::net::{self, SocketAddr};
@@ -20,22 +20,22 @@
 use crate::signals::Signals;
 use crate::transient::StartRetries;
 
-/// Events that wait for the event loop; whoever reports more waits too.
-const EVENT_QUEUE: usize = 1024;
-/// Successors that wait to be offered the state; the listener accepts one at a time.
-const SUCCESSOR_QUEUE: usize = 1;
+/// Capacity of the queue of events for the event loop. A task that reports an event to a full queue waits.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
+/// Capacity of the queue of successors that wait for an offer; the handover listener accepts one at a time.
+const SUCCESSOR_QUEUE_CAPACITY: usize = 1;
 
 impl SenderProcess {
-    /// Starts what every process runs: the operators' listener, the signal handlers, and the maintenance of
-    /// connections.
+    /// Starts the tasks that every process runs: the operators' server, the signal handlers, and the
+    /// maintenance of connections.
     pub(super) async fn start(
         config: Config,
         signals: Signals,
         retries: StartRetries,
     ) -> Result<Self, ProcessError> {
-        let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
+        let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (command_sender, commands) = mpsc::channel(operator_api::REQUEST_QUEUE_CAPACITY);
-        let (successor_sender, successors) = mpsc::channel(SUCCESSOR_QUEUE);
+        let (successor_sender, successors) = mpsc::channel(SUCCESSOR_QUEUE_CAPACITY);
         let (discovery_sender, discovery) = watch::channel(config.discovery);
         let serving_state = Rc::new(ServingStateControl::new());
         let ready = Rc::new(Cell::new(false));
@@ -82,7 +82,7 @@
     }
 }
 
-/// Serves operators on a listener of their own, for as long as the process lives.
+/// Starts the server for operators, which has its own listener and runs until the process ends.
 async fn serve_operators(
     address: SocketAddr,
     operator_api: OperatorApi,
