--- a/crates/message-sender/src/main.rs
+++ b/crates/message-sender/src/main.rs
@@ -1,7 +1,8 @@
-//! `message-sender`: accepts messages from clients and delivers each by a call to an endpoint of its
+//! `message-sender`: accepts messages from clients and delivers each of them by calling an endpoint of its
 //! destination.
 //!
-//! All of its settings come from the environment; see [`config::Config::from_environment`].
+//! It takes no arguments. Environment variables name its configuration file and its state folder; see
+//! [`config::Config::from_environment`].
 #![forbid(unsafe_code)]
 
 use std::io;
@@ -42,13 +43,13 @@
 
 use transient::{is_transient, RETRY_PAUSE};
 
-/// What is logged unless `RUST_LOG` says otherwise.
+/// The log filter if `RUST_LOG` is not set or is invalid.
 const DEFAULT_LOG_FILTER: &str = "info";
-/// How often the runtime is built, some 50 ms apart.
+/// Maximum number of attempts to build the runtime, with a pause of [`RETRY_PAUSE`] (50 ms) in between.
 const RUNTIME_ATTEMPTS: u32 = 100;
 
 fn main() -> ExitCode {
-    start_log();
+    init_logging();
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -58,20 +59,20 @@
     }
 }
 
-/// Logs to standard error, one line an event.
-fn start_log() {
+/// Initializes the log, which is written to standard error, one line per event.
+fn init_logging() {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(DEFAULT_LOG_FILTER));
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
-/// Runs the process on one thread, as its parts share their state without locks.
+/// Runs the process on a single thread, because its parts share state without locks.
 fn run() -> anyhow::Result<()> {
     let runtime = build_runtime().context("the runtime cannot be built")?;
     LocalSet::new().block_on(&runtime, process::run())?;
     Ok(())
 }
 
-/// Builds the runtime, again if the system denies it something for a moment.
+/// Builds the runtime, and retries if the system fails with a transient error.
 fn build_runtime() -> io::Result<runtime::Runtime> {
     for _ in 1..RUNTIME_ATTEMPTS {
         match runtime::Builder::new_current_thread().enable_all().build() {
--- a/crates/message-sender/src/serving_state.rs
+++ b/crates/message-sender/src/serving_state.rs
@@ -1,4 +1,4 @@
-//! Whether this process serves clients, and the transitions between the states.
+//! The serving state of the process: whether it serves clients, and how this changes.
 
 use std::cell::Cell;
 
@@ -7,16 +7,16 @@
 #[cfg(test)]
 mod tests;
 
-/// What the process does for clients.
+/// Whether the process serves clients, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
-    /// Accepts messages.
+    /// The process accepts messages.
     Serving,
-    /// Drained by an operator, who may activate it again.
+    /// An operator has put the process on standby, and may activate it again.
     Standby,
-    /// A successor process is the sender and serves the clients from now on.
+    /// A successor process is the sender and serves the clients.
     HandedOver,
-    /// About to end; there is no way back.
+    /// The process is about to end; this state is final.
     ShuttingDown,
 }
 
@@ -26,7 +26,7 @@
         self == Self::Serving
     }
 
-    /// Whether the sender as a whole serves clients, be it by a successor process.
+    /// Whether the sender as a whole serves clients, in this process or in a successor.
     pub fn is_healthy(self) -> bool {
         match self {
             Self::Serving | Self::HandedOver => true,
@@ -34,23 +34,24 @@
         }
     }
 
-    /// Waits until the process serves, and then until it serves no longer: a connection that is accepted
-    /// while it does not serve is left alone.
+    /// Waits until the process serves, and then until it no longer does. A connection that is accepted while
+    /// the process does not serve is therefore not closed at once.
     pub async fn wait_until_not_serving(state: &mut watch::Receiver<ServingState>) {
-        // Without a sender the process ends, and with it whoever waits.
+        // These fail only if the control has been dropped: then the process ends, and with it the waiting
+        // task.
         let _ = state.wait_for(|state| state.is_serving()).await;
         let _ = state.wait_for(|state| !state.is_serving()).await;
     }
 }
 
-/// Owns the process's serving state. All who follow the state see each transition at once.
+/// Owns the process's serving state. All receivers see each transition immediately.
 pub struct ServingStateControl {
     state: watch::Sender<ServingState>,
     /// The state to which the process returns if its successor dies.
     before_handover: Cell<ServingState>,
 }
 
-/// The process is shutting down: its serving state changes no more.
+/// The error when an operator changes the state of a process that is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the process is shutting down")]
 pub struct ShuttingDown;
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Follows the state.
+    /// Returns a receiver that follows the state.
     pub fn subscribe(&self) -> watch::Receiver<ServingState> {
         self.state.subscribe()
     }
 
-    /// The present state.
+    /// Returns the current state.
     pub fn state(&self) -> ServingState {
         *self.state.borrow()
     }
 
-    /// An operator sets the state; returns the one before.
+    /// Sets the state that an operator requests, and returns the previous one.
     pub fn set_by_operator(&self, to: ServingState) -> Result<ServingState, ShuttingDown> {
         if self.state() == ServingState::ShuttingDown {
             return Err(ShuttingDown);
@@ -82,21 +83,22 @@
         Ok(self.state.send_replace(to))
     }
 
-    /// A successor process serves the clients from now on.
+    /// Records that a successor process serves the clients from now on.
     pub fn hand_over(&self) {
         self.before_handover.set(self.state());
         self.transition(ServingState::HandedOver, "handover");
     }
 
-    /// The successor process has died: this one serves again, or is on standby again.
+    /// Returns to the state before the handover, because the successor process has died.
     pub fn resume(&self) {
         self.transition(self.before_handover.get(), "successor died");
     }
 
-    /// The process is to end. One that has handed over stays so: to its clients the sender is up.
+    /// Begins the shutdown. A process that has handed over stays in that state: for its clients, the sender
+    /// is healthy.
     pub fn shut_down(&self) {
         if self.state() != ServingState::HandedOver {
-            self.transition(ServingState::ShuttingDown, "asked to end");
+            self.transition(ServingState::ShuttingDown, "shutdown requested");
         }
     }
 
--- a/crates/message-sender/src/signals.rs
+++ b/crates/message-sender/src/signals.rs
@@ -1,8 +1,8 @@
 //! The signals that the process handles: SIGHUP, SIGTERM and SIGINT.
 //!
-//! Handlers only set a flag, which is looked at some tens of times a second. The runtime's own way to hear of signals
-//! is a socket pair, whose reads and writes may be interrupted: the one ends the process, the other loses the
-//! signal.
+//! The handlers only set a flag, which is polled some tens of times a second. The runtime's own signal
+//! handling uses a socket pair, whose reads and writes may be interrupted: an interrupted read would end the
+//! process, and an interrupted write would lose the signal.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,30 +21,30 @@
 use crate::event::SenderEvent;
 use crate::serving_state::ServingStateControl;
 
-/// How often the flags are looked at. A process that hears late that it is to end goes on accepting for that
-/// time what others had better accept.
+/// How often the flags are polled. Until a process notices the signal to end, it accepts messages that other
+/// senders should accept instead.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause before a configuration that cannot be read is read again.
-const RELOAD_PAUSE: Duration = Duration::from_millis(100);
-/// For how long a configuration that cannot be read is read again: the old address of discovery is gone 1.5 s
-/// after the signal, and the change counts as known after 4 s.
-const RELOAD_LIMIT: Duration = Duration::from_secs(3);
+const RELOAD_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// How long after the last signal a configuration that cannot be read is read again: the old address of
+/// discovery is gone 1.5 s after the signal, and the change counts as known after 4 s.
+const RELOAD_RETRY_LIMIT: Duration = Duration::from_secs(3);
 
-/// The process's signals. Until they are installed, each of them ends the process.
+/// The signals that the process handles. Until their handlers are installed, each of them ends the process.
 pub struct Signals {
-    /// Asks to read the configuration again.
+    /// SIGHUP, which requests that the configuration be read again.
     hangup: SignalFlag,
-    /// Asks for a graceful shutdown.
+    /// SIGTERM or SIGINT, which request a graceful shutdown.
     shutdown: SignalFlag,
 }
 
 impl Signals {
-    /// Catches the signals from now on.
+    /// Installs the handlers of the signals.
     pub fn install() -> io::Result<Self> {
         Ok(Self { hangup: SignalFlag::catch(&[SIGHUP])?, shutdown: SignalFlag::catch(&[SIGTERM, SIGINT])? })
     }
 
-    /// Starts the tasks that act on the signals, for as long as the process lives.
+    /// Starts the tasks that act on the signals.
     pub fn spawn_handlers(
         self,
         discovery: watch::Sender<SocketAddr>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Set by signals, and cleared when that is seen.
+/// A flag that signal handlers set, and that is cleared when it is read.
 struct SignalFlag {
     is_set: Arc<AtomicBool>,
 }
@@ -70,7 +70,7 @@
         Ok(Self { is_set })
     }
 
-    /// Whether a signal has come since this was asked last.
+    /// Clears the flag. Returns whether a signal has arrived since the last call.
     fn take(&self) -> bool {
         self.is_set.swap(false, Ordering::Relaxed)
     }
@@ -83,18 +83,18 @@
     }
 }
 
-/// On each SIGHUP follows discovery to the address that the configuration file names then. A file that cannot
-/// be read changes nothing: a discovery service that may soon be gone is better than none.
+/// On each SIGHUP, switches to the discovery address in the configuration file. A file that cannot be read
+/// changes nothing: a discovery service that may soon be gone is better than none.
 async fn reload_configuration(hangup: SignalFlag, discovery: watch::Sender<SocketAddr>) {
     loop {
         hangup.wait().await;
-        follow_configuration(&hangup, &discovery).await;
+        reload_discovery_address(&hangup, &discovery).await;
     }
 }
 
-/// Follows discovery to the address in the file. One that cannot be read, or is half written, is read again
-/// for as long as the change may take to be known, counted from the last signal.
-async fn follow_configuration(hangup: &SignalFlag, discovery: &watch::Sender<SocketAddr>) {
+/// Reads the discovery address from the configuration file and switches to it. A file that cannot be read, or
+/// is half written, is read again until [`RELOAD_RETRY_LIMIT`] has passed since the last signal.
+async fn reload_discovery_address(hangup: &SignalFlag, discovery: &watch::Sender<SocketAddr>) {
     let mut signalled_at = Instant::now();
     loop {
         match Config::discovery_now() {
@@ -103,11 +103,11 @@
                 discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
                 return;
             }
-            Err(error) if signalled_at.elapsed() >= RELOAD_LIMIT => {
+            Err(error) if signalled_at.elapsed() >= RELOAD_RETRY_LIMIT => {
                 tracing::error!(%error, "configuration not reloaded");
                 return;
             }
-            Err(_) => sleep(RELOAD_PAUSE).await,
+            Err(_) => sleep(RELOAD_RETRY_PAUSE).await,
         }
         if hangup.take() {
             signalled_at = Instant::now();
@@ -115,8 +115,8 @@
     }
 }
 
-/// Begins the graceful shutdown on the first SIGTERM or SIGINT. Clients are sent away, unless a successor
-/// serves them already. Further ones change nothing.
+/// Begins the graceful shutdown on the first SIGTERM or SIGINT; further ones change nothing. Unless a
+/// successor has taken over, the process stops serving clients.
 async fn shut_down_on_signal(
     shutdown: SignalFlag,
     serving_state: Rc<ServingStateControl>,
@@ -125,6 +125,6 @@
     shutdown.wait().await;
     tracing::info!("draining");
     serving_state.shut_down();
-    // The receiver is gone only when the process ends.
+    // Fails only while the process ends: the receiver exists until then.
     let _ = events.send(SenderEvent::ShutdownRequested).await;
 }
