--- a/crates/message-sender/src/http_connection/byte_counter.rs
+++ b/crates/message-sender/src/http_connection/byte_counter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of the current request and follows the start of its response.
+//! Counts the written bytes of the current request and reads the status line of its response.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
     counter: Rc<Cell<u64>>,
 }
 
-/// What has passed on a connection since its last request was handed over.
+/// Observes what was written and read on a connection since the last reset, which precedes each request.
 #[derive(Default)]
 pub struct ByteCounter {
     written: Cell<u64>,
@@ -25,18 +25,18 @@
 }
 
 impl ByteCounter {
-    /// Starts over for the next request. A completion trigger that is set remains.
+    /// Starts over for the next request. A completion trigger that has not fired yet remains set.
     pub fn reset(&self) {
         self.written.set(0);
         self.status_line.take();
     }
 
-    /// Increments `counter` once `request_length` bytes of the next request are written.
+    /// Sets a trigger that increments `counter` once `request_length` bytes of the next request are written.
     pub fn count_when_written(&self, request_length: u64, counter: Rc<Cell<u64>>) {
         self.completion_trigger.replace(Some(CompletionTrigger { request_length, counter }));
     }
 
-    /// Bytes of the request that the kernel has taken.
+    /// Number of bytes of the request that the kernel has accepted.
     pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
@@ -51,7 +51,7 @@
         self.status_line.borrow().status()
     }
 
-    /// Completes once a byte of the response has arrived.
+    /// Waits until a byte of the response has arrived.
     pub async fn wait_for_response_start(&self) {
         while !self.has_response() {
             self.response_started.notified().await;
--- a/crates/message-sender/src/http_connection/connection.rs
+++ b/crates/message-sender/src/http_connection/connection.rs
@@ -21,20 +21,21 @@
 use super::byte_counter::ByteCounter;
 use crate::instrumented_stream::InstrumentedStream;
 
-/// Bounds the head of a response, which may otherwise have no end.
+/// Maximum size of the connection's buffers in bytes. It limits the head of a response, which could
+/// otherwise be endless.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
-/// Time from the first byte of a response to the end of its head.
+/// Maximum time from the first byte of a response to the end of its head.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time from the end of a response's head to the end of its body.
+/// Maximum time from the end of a response's head to the end of its body.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request was written: the peer has not seen it.
+    /// No byte of the request was written, so the peer has not received any of it.
     #[error("the connection was closed before the request was sent")]
     NotSent,
-    /// A response has started, and its head did not end in time.
+    /// A response started, but its head was not complete in time.
     #[error("the response head was not complete in time")]
     HeadTimeout,
     /// The connection broke, or the response could not be parsed.
@@ -42,16 +43,16 @@
     Broken(hyper::Error),
 }
 
-/// How the remainder of a response, after its head, arrived.
+/// How the rest of a response after its head was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseRemainder {
-    /// In full; the connection can carry another request.
+    /// The rest arrived in full, and the connection can carry another request.
     Complete,
-    /// In full; the connection has ended.
+    /// The rest arrived in full, and the connection was closed.
     CompleteAndClosed,
-    /// In full, and followed by bytes that belong to no response.
+    /// The rest arrived in full but was followed by bytes that belong to no response.
     ExcessData,
-    /// Not in full.
+    /// The rest did not arrive in full.
     Incomplete,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl Connection {
-    /// Connects to `address`. Takes as long as the system lets it.
+    /// Connects to `address`. Has no timeout other than that of the operating system.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
@@ -74,8 +75,8 @@
         let mut client = http1::Builder::new();
         client.max_buf_size(MAX_BUFFER_BYTES);
         let (sender, connection) = client.handshake(io).await.map_err(io::Error::other)?;
-        // A broken connection shows in the request's own result; an idle one is found closed when next
-        // wanted.
+        // Nothing needs to watch this task: a broken connection fails the request that is on it, and a
+        // closed idle connection is detected before its next use.
         let task = tokio::task::spawn_local(connection);
         Ok(Self { sender, task, stream, byte_counter, is_reused: false })
     }
@@ -100,7 +101,8 @@
         })
     }
 
-    /// Reads a response to its end, up to `max_bytes` of its body.
+    /// Reads a response to its end. A body that is longer than `max_bytes`, or not received within
+    /// `RESPONSE_BODY_TIMEOUT`, counts as incomplete.
     pub async fn read_remainder(&mut self, body: Incoming, max_bytes: usize) -> ResponseRemainder {
         if body.size_hint().lower() > max_bytes as u64 {
             return ResponseRemainder::Incomplete;
@@ -113,7 +115,8 @@
         match timeout(RESPONSE_BODY_TIMEOUT, read).await {
             Err(_) | Ok(None) => ResponseRemainder::Incomplete,
             Ok(Some(true)) => {
-                // These bytes say nothing about the next request, which may be cancelled before it is sent.
+                // The counts of this exchange must not be taken for those of the next request, which may be
+                // cancelled before it is sent.
                 self.byte_counter.reset();
                 ResponseRemainder::Complete
             }
@@ -121,8 +124,8 @@
         }
     }
 
-    /// How a response arrived after which the connection has ended: unexpected bytes end it with an error, a
-    /// close does not.
+    /// Determines why the connection ended after a complete response: unexpected bytes end it with an
+    /// error, a close does not.
     async fn closed_remainder(&mut self) -> ResponseRemainder {
         match (&mut self.task).await {
             Ok(Ok(())) => ResponseRemainder::CompleteAndClosed,
@@ -130,13 +133,13 @@
         }
     }
 
-    /// Waits until another request can be sent; false if the connection has ended.
+    /// Waits until another request can be sent. Returns false if the connection has ended.
     pub async fn ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Whether another request can be sent and nothing has arrived since the last response. Looks at the
-    /// socket itself: bytes that have arrived but were not read yet would be taken for the response to the
+    /// Whether another request can be sent and nothing has arrived since the last response. Peeks at the
+    /// socket, since bytes that have arrived but were not read yet would be taken for the response to the
     /// next request.
     pub fn is_quiet(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
@@ -148,31 +151,33 @@
         self.is_reused
     }
 
-    /// Records that the connection has carried a request.
+    /// Marks the connection as one that has carried a request.
     pub fn mark_reused(&mut self) {
         self.is_reused = true;
     }
 
-    /// Bytes written of the last request.
+    /// Number of bytes of the last request that were written.
     pub fn bytes_written(&self) -> u64 {
         self.byte_counter.bytes_written()
     }
 
-    /// Whether a response to the last request has started.
+    /// Whether any byte of the response to the last request has arrived.
     pub fn has_response(&self) -> bool {
         self.byte_counter.has_response()
     }
 
-    /// The status of the response, known once its status line has arrived, even if the rest cannot be parsed.
+    /// The status of the response, known once its status line has arrived, even if the rest cannot be
+    /// parsed.
     pub fn response_status(&self) -> Option<u16> {
         self.byte_counter.response_status()
     }
 
-    /// Closes the socket before it returns, so that whatever is sent next follows the end of this connection.
+    /// Closes the socket before returning, so that anything that is sent afterwards follows the
+    /// connection's close.
     pub async fn close(mut self) {
         if !self.task.is_finished() {
             self.task.abort();
-            // The only error is that the task was aborted.
+            // The only possible error is that the task was aborted.
             let _ = (&mut self.task).await;
         }
     }
@@ -184,7 +189,7 @@
     }
 }
 
-/// Completes when a response has started and its head is overdue.
+/// Completes once `RESPONSE_HEAD_TIMEOUT` has passed since a response started.
 async fn head_timeout(byte_counter: &ByteCounter) {
     byte_counter.wait_for_response_start().await;
     sleep(RESPONSE_HEAD_TIMEOUT).await;
--- a/crates/message-sender/src/http_connection/mod.rs
+++ b/crates/message-sender/src/http_connection/mod.rs
@@ -1,8 +1,9 @@
-//! One outgoing HTTP/1.1 connection that knows which bytes of the current request and response were on the
-//! wire.
+//! An outgoing HTTP/1.1 connection that tracks which bytes of the current request and response have been on
+//! the wire.
 //!
-//! The HTTP library reports neither how much of a request the kernel took nor what arrived of a response that
-//! cannot be parsed. Both decide whether a message may have been processed, so they are observed below it.
+//! The HTTP library reports neither how much of a request the kernel accepted nor which part of an
+//! unparsable response arrived. Both decide whether a message may have been processed, so they are observed
+//! below the library, on the stream.
 
 mod byte_counter;
 mod connection;
--- a/crates/message-sender/src/http_connection/status_line.rs
+++ b/crates/message-sender/src/http_connection/status_line.rs
@@ -1,15 +1,15 @@
-//! Finds the status of a response while its bytes pass. The status line holds even if the rest of the
-//! response is corrupt and the HTTP library rejects it.
+//! Parses the status of a response from its bytes as they arrive. The status is valid even if the rest of
+//! the response is corrupt and the HTTP library rejects it.
 
-/// Bytes of a line that can matter: `HTTP/1.1 200 `. Longer lines are read to their end and not stored.
+/// Number of bytes stored of each line: no more than `HTTP/1.1 200 ` is needed. Further bytes are discarded.
 const MAX_STORED_BYTES: usize = 13;
 
-/// Reads bytes up to the end of the final response's status line; interim responses (1xx) before it are
+/// Parses bytes up to the end of the final response's status line. Interim responses (1xx) before it are
 /// skipped.
 #[derive(Debug, Default)]
 pub struct StatusLineParser {
     state: State,
-    /// The start of the current line.
+    /// The first `MAX_STORED_BYTES` bytes of the current line.
     line: Vec<u8>,
 }
 
@@ -20,9 +20,9 @@
     Empty,
     /// In a status line.
     StatusLine,
-    /// In the head of an interim response, which ends with an empty line.
+    /// After the status line of an interim response, whose head ends with an empty line.
     InterimHead,
-    /// The status line is complete; it may be malformed.
+    /// The status line is complete; `None` if it is malformed.
     Done(Option<u16>),
 }
 
@@ -32,7 +32,7 @@
         self.state != State::Empty
     }
 
-    /// The status of a complete and well-formed status line.
+    /// The status, if the status line is complete and well-formed.
     pub fn status(&self) -> Option<u16> {
         match self.state {
             State::Done(status) => status,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reads the next bytes, however the response is cut up.
+    /// Parses the next bytes. The response may be split at any byte.
     pub fn read(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match (self.state, byte) {
@@ -77,12 +77,12 @@
     }
 }
 
-/// The status in the start of a line such as `HTTP/1.1 200 OK`.
+/// Parses the status from the start of a line such as `HTTP/1.1 200 OK`.
 fn parse_status(line: &[u8]) -> Option<u16> {
     let text = std::str::from_utf8(line).ok()?;
-    let minor_version_on = text.strip_prefix("HTTP/1.")?;
-    let status_on = minor_version_on.get(1..)?.strip_prefix(' ')?;
-    let (status, after_status) = status_on.split_at_checked(3)?;
+    let after_prefix = text.strip_prefix("HTTP/1.")?;
+    let after_version = after_prefix.get(1..)?.strip_prefix(' ')?;
+    let (status, after_status) = after_version.split_at_checked(3)?;
     let is_delimited = after_status.is_empty() || after_status.starts_with([' ', '\r']);
     let is_number = status.bytes().all(|digit| digit.is_ascii_digit());
     if is_delimited && is_number {
--- a/crates/message-sender/src/http_connection/status_line/tests.rs
+++ b/crates/message-sender/src/http_connection/status_line/tests.rs
@@ -1,8 +1,8 @@
-//! Complete, partial, malformed and interim status lines.
+//! Tests for complete, partial, malformed and interim status lines.
 
 use super::StatusLineParser;
 
-/// The status that a response tells, which must not depend on how its bytes are cut up.
+/// Parses the status of a response, in one piece and byte by byte. Both must give the same status.
 fn parsed_status(response: &[u8]) -> Option<u16> {
     let mut parser = StatusLineParser::default();
     parser.read(response);
@@ -12,10 +12,12 @@
     for byte in response {
         bytewise_parser.read(std::slice::from_ref(byte));
     }
-    assert_eq!(bytewise_parser.status(), status, "however it is cut up");
+    assert_eq!(bytewise_parser.status(), status, "the status must not depend on how the response is split");
     status
 }
 
+/// Guards against a status that is taken from a partial or malformed line: the message could be taken for
+/// delivered.
 #[test]
 fn only_a_complete_status_line_has_a_status() {
     assert_eq!(parsed_status(b"HTTP/1.1 200 OK\r\n\0\xff"), Some(200));
@@ -27,6 +29,7 @@
     assert_eq!(parsed_status(b"HTTP/1.1 +20 OK\r\n"), None);
 }
 
+/// Guards against the status of an interim response being taken for that of the final response.
 #[test]
 fn interim_responses_are_skipped() {
     let interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n";
--- a/crates/message-sender/src/instrumented_stream.rs
+++ b/crates/message-sender/src/instrumented_stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream that reports the bytes that pass through it. Only this layer knows what was on the wire,
-//! since the HTTP library buffers in both directions.
+//! A TCP stream that reports the bytes read from and written to it. Only this layer knows what has been on
+//! the wire, since the HTTP library buffers in both directions.
 
 use std::io;
 use std::net::Shutdown;
@@ -11,35 +11,35 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether a call on a socket that does not block has done nothing and is to be made again: once the socket is
-/// ready, or at once where it was interrupted.
+/// Whether a call on a non-blocking socket had no effect and must be repeated: immediately if it was
+/// interrupted, otherwise once the socket is ready.
 pub fn is_to_be_repeated(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Observes the bytes of a stream as they pass.
+/// Observes the bytes that are read from and written to a stream.
 pub trait StreamObserver {
-    /// These bytes were read from the kernel; none at the end of the stream.
+    /// Called with the bytes that were read from the kernel; empty at the end of the stream.
     fn read(&self, bytes: &[u8]);
-    /// The kernel has taken so many bytes.
+    /// Called with the number of bytes that the kernel has accepted.
     fn written(&self, bytes: usize);
 }
 
-/// A stream with its observer. The stream is shared, so that its owner can look at the socket.
+/// A stream with its observer. The stream is shared, so that its owner can inspect the socket.
 pub struct InstrumentedStream<O> {
     stream: Rc<TcpStream>,
     observer: Rc<O>,
 }
 
 impl<O> InstrumentedStream<O> {
-    /// Wraps a stream, whose bytes `observer` sees from now on.
+    /// Wraps a stream and reports its bytes to `observer` from now on.
     pub fn new(stream: Rc<TcpStream>, observer: Rc<O>) -> Self {
         Self { stream, observer }
     }
 }
 
 impl<O: StreamObserver> InstrumentedStream<O> {
-    /// Writes as soon as the socket takes something, and reports how much.
+    /// Writes as soon as the socket accepts data, and reports the number of bytes to the observer.
     fn poll_try_write(
         &self,
         context: &mut Context<'_>,
@@ -72,9 +72,9 @@
                 Err(error) if is_to_be_repeated(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(bytes) => {
-                    let before = buffer.filled().len();
+                    let filled_before = buffer.filled().len();
                     buffer.advance(bytes);
-                    self.observer.read(&buffer.filled()[before..]);
+                    self.observer.read(&buffer.filled()[filled_before..]);
                     return Poll::Ready(Ok(()));
                 }
             }
