--- a/crates/message-sender/src/delivery/attempt.rs
+++ b/crates/message-sender/src/delivery/attempt.rs
@@ -1,4 +1,4 @@
-//! What an attempt is given, the phases it reports, and its result.
+//! The input of an attempt, the phases that it reports and its result.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,66 +9,67 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// What a rate limit, and with it a Retry-After, applies to: a destination as a whole, or one of its
-/// endpoints if each has limits of its own.
+/// The scope of a rate limit and of a Retry-After: a whole destination, or a single endpoint if each
+/// endpoint of the destination has its own limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Route {
     /// The destination.
     pub destination: DestinationId,
-    /// The endpoint, if its limits are its own.
+    /// The endpoint, if each endpoint has its own limits.
     pub endpoint: Option<EndpointId>,
 }
 
-/// Where an attempt goes. Connections are reused only for the same endpoint at the same address: another
-/// endpoint may have taken over the address.
+/// The endpoint and address that an attempt is sent to. A connection is reused only if both are the same,
+/// since another endpoint may have taken over the address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The address at which it is called.
+    /// The address of the endpoint.
     pub address: SocketAddr,
 }
 
-/// Reports a phase before the attempt goes on; false if the attempt must not go on.
+/// Called with each phase before the attempt continues. Returns false if the attempt must stop.
 pub type PhaseCallback = Box<dyn Fn(AttemptPhase) -> bool>;
 
-/// One attempt to make.
+/// Everything that is needed to make one attempt.
 pub struct Call {
     /// The endpoint to call.
     pub endpoint: EndpointId,
     /// The address of the endpoint.
     pub address: SocketAddr,
-    /// What the limits of the endpoint apply to.
+    /// The scope of the rate limit that applies to the endpoint.
     pub route: Route,
     /// The message's identifier.
     pub call_id: HeaderValue,
     /// The message's idempotency key, if it has one.
     pub idempotency_key: Option<HeaderValue>,
-    /// The message.
+    /// The message body.
     pub body: Bytes,
-    /// Time from the start of the attempt to its end.
+    /// Maximum duration of the attempt, including the time to connect.
     pub timeout: Duration,
-    /// When the attempt was decided on.
+    /// When the controller decided on the attempt.
     pub decided_at: Instant,
-    /// Nothing of the attempt may be sent later than this: a retry would fall outside the idempotency window.
+    /// Latest time to send the first byte: a retry that starts later would fall outside the idempotency
+    /// window.
     pub start_deadline: Instant,
-    /// Records the attempt's progress for the time after the process's death.
+    /// Records the attempt's phases in the journal, so that they are known after the process has died.
     pub on_phase: PhaseCallback,
 }
 
 impl Call {
-    /// Where the attempt goes.
+    /// The endpoint and address that the attempt is sent to.
     pub fn target(&self) -> Target {
         Target { endpoint: self.endpoint, address: self.address }
     }
 }
 
-/// A phase of an attempt that outlasts the process.
+/// A phase of an attempt that is recorded in the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
-    /// The connection is established, and the first byte goes out next.
+    /// The connection is established, and the first byte is sent next.
     Starting,
-    /// No byte went out after all.
+    /// No byte was sent, although `Starting` was reported.
     NotStarted,
 }
 
@@ -77,14 +78,14 @@
 pub struct AttemptResult {
     /// The outcome.
     pub outcome: AttemptOutcome,
-    /// The Retry-After of a rejection, from the end of the attempt on; 0 if there was none.
+    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
-    /// The message has ended with this attempt.
+    /// Whether the message ends with this attempt, so that no other attempt follows.
     pub is_final: bool,
     /// The load report that came with the response.
     pub load_report: Option<LoadReport>,
-    /// Bytes of the request may have gone out, and the journal records so. Versions that do not send this
-    /// field recorded it for every attempt.
+    /// Whether bytes of the request may have been sent, which the journal then records. Versions that do
+    /// not send this field recorded every attempt as started.
     #[serde(default = "request_started_by_default")]
     pub request_started: bool,
 }
@@ -94,7 +95,7 @@
 }
 
 impl From<AttemptOutcome> for AttemptResult {
-    /// The result of an attempt that ended without further information, after its request was started.
+    /// The result of an attempt whose request was started and about which nothing but the outcome is known.
     fn from(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
--- a/crates/message-sender/src/delivery/client.rs
+++ b/crates/message-sender/src/delivery/client.rs
@@ -1,4 +1,4 @@
-//! Makes attempts: each from its start to its result, on a pooled or a new connection.
+//! Runs each attempt from its start to its result, on a pooled or a new connection.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,37 +22,38 @@
 use crate::time::duration;
 use crate::transient::is_local_shortage;
 
-/// The body of a response means nothing, but must be read before its connection can carry another request.
+/// Maximum length of a response body that is read. The body is not used, but must be read before its
+/// connection can carry another request.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
-/// Share of the time for which endpoints keep idle connections after which they are closed here: an attempt
-/// that crosses an endpoint's close would end as a reset.
+/// Idle connections are closed after this share of the time for which endpoints keep them: an attempt that
+/// is sent while the endpoint closes the connection would end as a reset.
 const IDLE_TIME_SHARE: f64 = 0.7;
-/// How often expired state is cleaned up.
+/// Interval between removals of expired state.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between log events on failed attempts.
+/// Minimum interval between log events about failed attempts.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// How often the record of idle connections' lifetimes decays.
+/// Interval at which the recorded lifetimes of idle connections decay.
 const LIFETIME_DECAY_INTERVAL: Duration = Duration::from_secs(1);
-/// Drains are remembered for this many connect time-outs: no attempt takes longer than that to connect.
-const DRAIN_MEMORY_CONNECT_TIMEOUTS: u32 = 2;
-/// Reason in the log for an attempt whose request was written in full and got no byte of a response.
+/// Number of connect timeouts for which a drain is remembered: no attempt takes longer than that to connect.
+const DRAIN_RETENTION_CONNECT_TIMEOUTS: u32 = 2;
+/// Logged reason of an attempt whose request was written in full and that received no byte of a response.
 const NO_RESPONSE: &str = "no response";
 
-/// Makes attempts to all endpoints and reuses their connections.
+/// Sends attempts to all endpoints and reuses their connections.
 pub struct DeliveryClient {
     pool: ConnectionPool,
     restrictions: SendRestrictions,
     failure_log: FailureLog,
     connect_timeout: Duration,
-    /// Messages written in full.
+    /// Number of attempts whose request was written in full.
     attempts_written: Rc<Cell<u64>>,
 }
 
-/// What an attempt has come to; it remains when the attempt is cancelled.
+/// The progress of an attempt. It remains available after the attempt is cancelled or has timed out.
 struct AttemptProgress {
     request: PreparedRequest,
     connection: Option<Connection>,
-    /// The first byte of the request may have gone out.
+    /// Whether the first byte of the request may have been sent.
     request_started: bool,
 }
 
@@ -61,27 +62,28 @@
         Self { request: PreparedRequest::new(call), connection: None, request_started: false }
     }
 
-    /// Whether the last byte of the request has gone out. An endpoint starts to process a message only then.
+    /// Whether the last byte of the request has been written. An endpoint does not process a message before
+    /// it has received that byte.
     fn is_request_written(&self) -> bool {
         let request_length = self.request.wire_length();
         self.connection.as_ref().is_some_and(|connection| connection.bytes_written() >= request_length)
     }
 
-    /// Whether the request is on the wire and the status line of its response says that the message was
+    /// Whether the request was written in full and the status line of its response says that the message was
     /// delivered.
     fn is_delivered(&self) -> bool {
         let status = self.connection.as_ref().and_then(Connection::response_status);
         self.is_request_written() && status.is_some_and(is_delivered)
     }
 
-    /// The outcome of an attempt without a usable response, in view of what was on the wire.
-    fn outcome_on_wire(&self, outcome: AttemptOutcome) -> AttemptOutcome {
+    /// Corrects the outcome of an attempt without a usable response by what was written and received.
+    fn corrected_outcome(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         match outcome {
             AttemptOutcome::NotSent => outcome,
-            // True even if the rest of the response is corrupt.
+            // The status holds even if the rest of the response is corrupt.
             _ if self.is_delivered() => AttemptOutcome::Delivered,
             _ if self.is_request_written() => outcome,
-            // An endpoint starts to process a message with its last byte, which it has not received.
+            // The endpoint has not received the last byte, without which it does not process the message.
             AttemptOutcome::Cancelled => AttemptOutcome::NotSent,
             _ => AttemptOutcome::ConnectFailed,
         }
@@ -89,8 +91,8 @@
 }
 
 impl DeliveryClient {
-    /// A client that keeps up to `max_idle_connections`, and counts in `attempts_written` the messages that
-    /// are written in full.
+    /// Creates a client that keeps up to `max_idle_connections` and counts the requests that are written in
+    /// full in `attempts_written`.
     pub fn new(limits: &Limits, max_idle_connections: usize, attempts_written: Rc<Cell<u64>>) -> Rc<Self> {
         let max_idle_time = duration(limits.connection_idle).mul_f64(IDLE_TIME_SHARE);
         Rc::new(Self {
@@ -102,16 +104,18 @@
         })
     }
 
-    /// Makes one attempt and returns its result; `cancel` cancels it, also by being dropped. Unless the
-    /// message was delivered, the response has arrived in full or its connection is closed before this
-    /// returns, so that two attempts of a message are never open together.
+    /// Makes one attempt and returns its result. A message on `cancel`, or dropping its sender, cancels the
+    /// attempt. Unless the message was delivered, the response has arrived in full or the connection is
+    /// closed before this function returns, so that two attempts of a message are never open at the same
+    /// time.
     pub async fn call(self: Rc<Self>, call: Call, cancel: oneshot::Receiver<()>) -> AttemptResult {
         let mut progress = AttemptProgress::new(&call);
         let result = self.run_to_end(&call, &mut progress, cancel).await;
         AttemptResult { request_started: progress.request_started, ..result }
     }
 
-    /// Closes expired connections, forgets what has expired, and logs failures, for good.
+    /// Periodically closes expired connections, removes other expired state and logs failures. Never
+    /// returns.
     pub async fn run_maintenance(self: Rc<Self>) {
         let mut failures_logged_at = Instant::now();
         let mut lifetimes_decayed_at = Instant::now();
@@ -128,23 +132,24 @@
             }
             self.pool.close_expired();
             self.pool.expire_saturation();
-            self.restrictions.expire(DRAIN_MEMORY_CONNECT_TIMEOUTS * self.connect_timeout);
+            self.restrictions.expire(DRAIN_RETENTION_CONNECT_TIMEOUTS * self.connect_timeout);
         }
     }
 
-    /// Starts no more attempts and keeps no connection: a successor process is the sender.
+    /// Stops starting attempts and closes all idle connections, because a successor process is now the
+    /// sender.
     pub fn suspend(&self) {
         self.restrictions.suspend();
         self.pool.clear();
     }
 
-    /// Starts attempts again: the successor has died.
+    /// Starts attempts again, because the successor has died.
     pub fn resume(&self) {
         self.restrictions.resume();
         self.pool.clear();
     }
 
-    /// Keeps attempts that were decided on before now from the endpoint, unless their requests have been
+    /// Prevents attempts to the endpoint that were decided on before now, unless their requests have been
     /// started.
     pub fn drain(&self, endpoint: EndpointId) {
         self.restrictions.drain(endpoint);
@@ -165,7 +170,7 @@
     ) -> AttemptResult {
         let ended = tokio::select! {
             biased;
-            // A dropped sender cancels too: nobody is left to receive the outcome.
+            // A dropped sender cancels the attempt too: nobody is left to receive the outcome.
             _ = cancel => Err(AttemptOutcome::Cancelled),
             ended = self.attempt(call, progress) => ended,
             () = sleep(call.timeout) => Err(AttemptOutcome::Timeout),
@@ -177,10 +182,10 @@
     }
 
     /// Closes the connection of an attempt that ended without a usable response, and determines the outcome
-    /// by what was on the wire.
+    /// from what was written and received.
     async fn abort(&self, progress: &mut AttemptProgress, outcome: AttemptOutcome) -> AttemptOutcome {
         let is_request_written = progress.is_request_written();
-        let outcome = progress.outcome_on_wire(outcome);
+        let outcome = progress.corrected_outcome(outcome);
         if let Some(connection) = progress.connection.take() {
             if is_request_written && !connection.has_response() {
                 self.failure_log.record(NO_RESPONSE.to_owned(), connection.is_reused());
@@ -190,7 +195,7 @@
         outcome
     }
 
-    /// Sends the request and interprets its response. `Err` if there is none that can be used.
+    /// Sends the request and interprets its response. `Err` if there is no usable response.
     async fn attempt(
         self: &Rc<Self>,
         call: &Call,
@@ -199,15 +204,16 @@
         let response = self.exchange(call, progress).await?;
         let result = interpret(response.status(), response.headers());
         if result.outcome != AttemptOutcome::Delivered {
-            return self.conclude_undelivered(call, progress, result, response).await;
+            return self.finish_undelivered(call, progress, result, response).await;
         }
-        if let Some(connection) = progress.connection.take().filter(|_| self.may_read_further()) {
-            tokio::task::spawn_local(self.clone().finish_response(call.target(), connection, response));
+        if let Some(connection) = progress.connection.take().filter(|_| self.may_finish_delivered()) {
+            tokio::task::spawn_local(self.clone().finish_delivered(call.target(), connection, response));
         }
         Ok(result)
     }
 
-    /// Sends the request on an idle connection or a new one. `Err(Reset)` stands for any break.
+    /// Sends the request on an idle or a new connection and returns the head of its response. Any failure
+    /// after the request has started is `Err(Reset)`.
     async fn exchange(
         &self,
         call: &Call,
@@ -230,14 +236,14 @@
                     self.record_reuse(idle_for, ReuseOutcome::Alive);
                     return Ok(response);
                 }
-                // The endpoint had closed an idle connection before any byte was written: the attempt goes on
-                // with another one.
+                // The endpoint had closed an idle connection before any byte was written: try another
+                // connection.
                 Err(SendError::NotSent) if idle_for.is_some() => {
                     (call.on_phase)(AttemptPhase::NotStarted);
                     progress.request_started = false;
                 }
                 Err(error) => {
-                    self.record_broken(connection, idle_for, &error);
+                    self.record_send_error(connection, idle_for, &error);
                     return Err(AttemptOutcome::Reset);
                 }
             }
@@ -247,7 +253,7 @@
     async fn connect(&self, address: SocketAddr) -> Result<Connection, AttemptOutcome> {
         match timeout(self.connect_timeout, Connection::open(address)).await {
             Ok(Ok(connection)) => Ok(connection),
-            // It says nothing about the endpoint, which must not be ejected for it.
+            // A local shortage says nothing about the endpoint, which must not be ejected because of it.
             Ok(Err(error)) if is_local_shortage(&error) => {
                 self.failure_log.record(error.to_string(), false);
                 Err(AttemptOutcome::NotSent)
@@ -256,8 +262,8 @@
         }
     }
 
-    /// Whether the request may still be sent. While the connection was established, a Retry-After may have
-    /// arrived, the endpoint may have begun to drain, or the time for a retry may have passed.
+    /// Whether the request may still be sent. While the connection was being established, a Retry-After may
+    /// have arrived, the endpoint may have begun to drain, or the start deadline may have passed.
     fn may_start(&self, call: &Call) -> bool {
         let Some(reason) = self.send_restriction(call) else { return true };
         let call_id = &call.call_id;
@@ -275,8 +281,8 @@
         self.restrictions.find(call.endpoint, call.decided_at, call.route)
     }
 
-    fn record_broken(&self, connection: &Connection, idle_for: Option<Duration>, error: &SendError) {
-        // A response that has started, however corrupt, shows that the connection was alive.
+    fn record_send_error(&self, connection: &Connection, idle_for: Option<Duration>, error: &SendError) {
+        // Any byte of a response, even of a corrupt one, shows that the connection was alive.
         let reuse = if connection.has_response() { ReuseOutcome::Alive } else { ReuseOutcome::Reset };
         self.record_reuse(idle_for, reuse);
         self.failure_log.record(error.to_string(), idle_for.is_some());
@@ -288,9 +294,9 @@
         }
     }
 
-    /// Reads an undelivered message's response to its end. Where it says that the message was not processed,
-    /// it must arrive in full to be believed: a corrupt one proves nothing.
-    async fn conclude_undelivered(
+    /// Reads the response to an undelivered message to its end. A response that says that the message was
+    /// not processed counts only if it arrives in full: a corrupt one proves nothing.
+    async fn finish_undelivered(
         &self,
         call: &Call,
         progress: &mut AttemptProgress,
@@ -311,8 +317,8 @@
             (ResponseRemainder::Complete, Some(connection)) => self.put_idle(call.target(), connection),
             (ResponseRemainder::ExcessData, Some(connection)) => {
                 connection.close().await;
-                // The length may have been wrong: in doubt the message may have been processed. The
-                // Retry-After applies all the same.
+                // The response's length may be wrong, so the message may have been processed. The
+                // Retry-After applies anyway.
                 let retry_after = result.retry_after;
                 return Ok(AttemptResult { retry_after, ..AttemptOutcome::Error.into() });
             }
@@ -322,8 +328,8 @@
         Ok(result)
     }
 
-    /// Reads the rest of a delivered message's response and keeps the connection for the next attempt.
-    async fn finish_response(
+    /// Reads the rest of the response to a delivered message and keeps the connection for the next attempt.
+    async fn finish_delivered(
         self: Rc<Self>,
         target: Target,
         mut connection: Connection,
@@ -338,8 +344,9 @@
         }
     }
 
-    /// Whether one more response may be read after its attempt has ended.
-    fn may_read_further(&self) -> bool {
+    /// Whether one more response may be read after its attempt has ended. May close idle connections to
+    /// free a descriptor for it.
+    fn may_finish_delivered(&self) -> bool {
         self.pool.free_capacity_for_read() && !self.restrictions.is_suspended()
     }
 
@@ -350,9 +357,9 @@
     }
 }
 
-/// Whether an endpoint has rejected a new connection for lack of capacity. A rate limit, or a destination
-/// that is closed, would have sent more details and kept the connection. The rejection proves nothing of
-/// either, so it must neither slow down other attempts nor count as an outage.
+/// Whether an endpoint has rejected a new connection for lack of capacity. A rejection because of a rate
+/// limit or a closed destination would have carried more details and kept the connection. This rejection
+/// indicates neither of them, so it must neither slow down other attempts nor count as an outage.
 fn is_connection_rejected(
     connection: &Connection,
     remainder: ResponseRemainder,
--- a/crates/message-sender/src/delivery/client/tests.rs
+++ b/crates/message-sender/src/delivery/client/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts against endpoints on the loopback interface.
+//! Tests that send attempts to endpoints on the loopback interface.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -21,18 +21,19 @@
 use crate::http_connection::Connection;
 
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// The rejection of a rate limit, which keeps the connection.
-const LIMIT_REJECTION: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
-/// The rejection of a connection for lack of capacity.
+/// A rejection because of a rate limit, which keeps the connection open.
+const RATE_LIMIT_REJECTION: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+/// A rejection of a connection for lack of capacity, which closes the connection.
 const CONNECTION_REJECTION: &str = "HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 const ENDPOINT: u64 = 1;
 const OTHER_ENDPOINT: u64 = 2;
 const ROUTE: Route = Route { destination: 7, endpoint: None };
 const SECOND_US: i64 = 1_000_000;
-/// Far sooner than the 42 s for which a connection is kept idle.
+/// Well below the 42 s for which a connection is kept idle.
 const WELL_BEFORE_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Reads bytes from a connection. Returns false if the connection has ended.
 async fn receive(stream: &mut TcpStream) -> bool {
     stream.read(&mut [0; 4096]).await.is_ok_and(|bytes| bytes > 0)
 }
@@ -48,27 +49,27 @@
     }
 }
 
-/// Answers one call on each connection, and resets it when another one arrives.
+/// Answers one call on each connection, and resets the connection when another call arrives.
 async fn serve_once(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         tokio::task::spawn_local(async move {
             assert!(stream.read(&mut [0; 4096]).await.unwrap() > 0);
             stream.write_all(OK_RESPONSE.as_bytes()).await.unwrap();
-            // Closed with bytes that were not read, it is reset.
+            // Closing a socket with unread bytes resets the connection.
             stream.readable().await.unwrap();
         });
     }
 }
 
-/// How an endpoint with room for one connection rejects calls on others.
+/// How an endpoint that has capacity for one connection rejects calls on further connections.
 #[derive(Clone, Copy, PartialEq)]
 enum Rejection {
     RateLimit,
     ConnectionLimit,
 }
 
-/// Answers calls on one connection at a time with 200 and rejects those on others. `is_free` tells whether
-/// that one connection is gone.
+/// Answers calls on one connection at a time with 200 and rejects calls on further connections. `is_free`
+/// is true while no accepted connection is open.
 async fn serve_one_connection(listener: TcpListener, is_free: Rc<Cell<bool>>, rejection: Rejection) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let is_free = is_free.clone();
@@ -76,7 +77,7 @@
             let is_first = is_free.replace(false);
             let response = match (is_first, rejection) {
                 (true, _) => OK_RESPONSE,
-                (false, Rejection::RateLimit) => LIMIT_REJECTION,
+                (false, Rejection::RateLimit) => RATE_LIMIT_REJECTION,
                 (false, Rejection::ConnectionLimit) => CONNECTION_REJECTION,
             };
             while receive(&mut stream).await {
@@ -119,7 +120,7 @@
 }
 
 async fn outcome_of(client: &Rc<DeliveryClient>, call: Call) -> AttemptOutcome {
-    let (_uncancelled, cancel) = oneshot::channel();
+    let (_cancel_sender, cancel) = oneshot::channel();
     client.clone().call(call, cancel).await.outcome
 }
 
@@ -139,10 +140,10 @@
 
 async fn run_local_before_idle_timeout(test: impl Future<Output = ()>) {
     let finished = timeout(WELL_BEFORE_IDLE_TIMEOUT, LocalSet::new().run_until(test)).await;
-    assert!(finished.is_ok(), "far sooner than the 42 s of an idle connection");
+    assert!(finished.is_ok(), "not finished well before the idle timeout of 42 s");
 }
 
-/// Guards against attempt after attempt being lost to connections that do not survive an idle time.
+/// Guards against losing one attempt after another on connections that do not survive an idle time.
 #[tokio::test]
 async fn connections_are_not_reused_after_an_idle_time_that_others_did_not_survive() {
     let test = async {
@@ -154,15 +155,15 @@
             lost += u32::from(outcome(&client, address).await == AttemptOutcome::Reset);
             sleep(Duration::from_millis(20)).await;
         }
-        // Ten without the estimator: one is accepted in each bucket, and a loaded machine may touch a few
-        // buckets.
-        assert!(lost <= 6, "{lost} of 20");
+        // Without the estimator, 10 attempts are lost. With it, one reset is accepted per bucket, and on a
+        // loaded machine the idle times may fall into several buckets.
+        assert!(lost <= 6, "{lost} of 20 attempts lost");
     };
     run_local(test).await;
 }
 
-/// Rejects the second of two connections. Whether the first connection is closed before its idle time is
-/// over, and whether the idle time of connections to other endpoints is cut.
+/// Makes an endpoint reject the second of two connections. Returns whether the first connection is closed
+/// before its idle time is over, and whether the idle time of connections to other endpoints is reduced.
 async fn reject_second_connection(rejection: Rejection) -> (bool, bool) {
     let (listener, address) = bind().await;
     let is_free = Rc::new(Cell::new(true));
@@ -170,33 +171,34 @@
     let client = client();
     assert_eq!(outcome(&client, address).await, AttemptOutcome::Delivered);
     wait_for_idle_connection(&client).await;
-    // One goes on the idle connection, the other on a new one.
-    let both = tokio::join!(outcome(&client, address), outcome(&client, address));
+    // One attempt uses the idle connection, the other a new one.
+    let outcomes = tokio::join!(outcome(&client, address), outcome(&client, address));
     let rejected = match rejection {
         Rejection::RateLimit => AttemptOutcome::Rejected,
         Rejection::ConnectionLimit => AttemptOutcome::NotSent,
     };
-    assert_eq!(both, (AttemptOutcome::Delivered, rejected));
-    // Until both are idle, or the one that has capacity is closed.
+    assert_eq!(outcomes, (AttemptOutcome::Delivered, rejected));
+    // Wait until both connections are idle, or the accepted one is closed.
     while client.pool.len() < 2 && !is_free.get() {
         sleep(Duration::from_millis(1)).await;
     }
     (is_free.get(), client.pool.idle_time_scale() < 1.0)
 }
 
-/// Guards against idle connections of hundreds of senders that fill the few which an endpoint accepts: on a
-/// day with no fault, two calls in five were rejected for lack of capacity.
+/// Guards against the idle connections of hundreds of senders using up the few connections that an endpoint
+/// accepts: on a day without faults, two calls in five were rejected for lack of capacity.
 #[tokio::test]
 async fn a_saturated_endpoint_has_no_connection_kept_idle() {
     let test = async {
         assert_eq!(reject_second_connection(Rejection::ConnectionLimit).await, (true, true));
         let by_rate_limit = reject_second_connection(Rejection::RateLimit).await;
-        assert_eq!(by_rate_limit, (false, false), "a limit is no reason for new connections");
+        assert_eq!(by_rate_limit, (false, false), "a rate limit must not close idle connections");
     };
     run_local_before_idle_timeout(test).await;
 }
 
-/// Guards against each endpoint having to reject each sender once before its idle connections are closed.
+/// Guards against a sender that keeps its idle connections to each endpoint until that endpoint has
+/// rejected it.
 #[tokio::test]
 async fn saturation_of_some_endpoints_shortens_the_idle_time_at_others() {
     let test = async {
@@ -210,7 +212,7 @@
         }
         let connection = Connection::open(address).await.unwrap();
         client.put_idle(Target { endpoint: ENDPOINT, address }, connection);
-        assert_eq!(client.pool.len(), 1, "the other's only");
+        assert_eq!(client.pool.len(), 1, "only the connection to the other endpoint is kept");
         tokio::task::spawn_local(client.clone().run_maintenance());
         while !client.pool.is_empty() {
             sleep(Duration::from_millis(5)).await;
@@ -219,8 +221,8 @@
     run_local_before_idle_timeout(test).await;
 }
 
-/// Guards against the response to an earlier call being taken for that to one which was held back on the same
-/// connection: the message would be dropped as delivered.
+/// Guards against the response to an earlier call being taken for the response to a call that a Retry-After
+/// prevented on the same connection: the message would be dropped as delivered.
 #[tokio::test]
 async fn a_call_that_awaits_retry_after_has_no_response() {
     let test = async {
@@ -239,12 +241,12 @@
     Socket::new(Domain::IPV4, Type::STREAM, None).unwrap()
 }
 
-/// Guards against a message that may not be retried failing because a call was cancelled that no endpoint
+/// Guards against a message that must not be retried failing because of a cancelled call that no endpoint
 /// started to process.
 #[tokio::test]
 async fn a_call_that_is_cancelled_before_its_last_byte_was_not_sent() {
     let test = async {
-        // Its queue is full: connections are not established.
+        // The listener's queue is full, so that no connection is established.
         let listener = tcp_socket();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         listener.listen(0).unwrap();
@@ -252,14 +254,14 @@
         let queue_fillers = [tcp_socket(), tcp_socket(), tcp_socket(), tcp_socket()];
         for queue_filler in &queue_fillers {
             queue_filler.set_nonblocking(true).unwrap();
-            // Under way, or not taken into the queue.
+            // The connection is in progress, or the queue does not accept it.
             let _ = queue_filler.connect(&address);
         }
-        let (uncancelled, cancel) = oneshot::channel();
+        let (cancel_sender, cancel) = oneshot::channel();
         let call = client().call(call_to(address.as_socket().unwrap()), cancel);
         let cancellation = async {
             tokio::task::yield_now().await;
-            drop(uncancelled);
+            drop(cancel_sender);
         };
         let (result, ()) = tokio::join!(call, cancellation);
         assert_eq!((result.outcome, result.request_started), (AttemptOutcome::NotSent, false));
@@ -267,8 +269,8 @@
     run_local(test).await;
 }
 
-/// Guards against a retry outside the idempotency window: it was decided on inside, and its connection was
-/// established late.
+/// Guards against a retry outside the idempotency window: the retry is decided on within the window, but its
+/// connection is established late.
 #[tokio::test]
 async fn a_call_whose_connection_is_established_after_the_start_deadline_is_not_sent() {
     let test = async {
@@ -276,8 +278,8 @@
         tokio::task::spawn_local(serve(listener));
         let client = client();
         let start_deadline = Instant::now();
-        let late = Call { start_deadline, ..call_to(address) };
-        assert_eq!(outcome_of(&client, late).await, AttemptOutcome::NotSent);
+        let late_call = Call { start_deadline, ..call_to(address) };
+        assert_eq!(outcome_of(&client, late_call).await, AttemptOutcome::NotSent);
         assert_eq!(client.attempts_written.get(), 0);
         assert_eq!(outcome(&client, address).await, AttemptOutcome::Delivered);
         assert_eq!(client.attempts_written.get(), 1);
@@ -285,8 +287,8 @@
     run_local(test).await;
 }
 
-/// Guards against a call that was decided on before its endpoint began to drain, or before another process
-/// became the sender, and whose connection is established only then.
+/// Guards against sending a call that was decided on before its endpoint began to drain, or before another
+/// process became the sender, and whose connection is established only afterwards.
 #[tokio::test]
 async fn a_call_that_has_not_started_is_not_sent_after_drain_or_suspension() {
     let test = async {
@@ -297,7 +299,7 @@
         client.drain(decided_before_drain.endpoint);
         assert_eq!(outcome_of(&client, decided_before_drain).await, AttemptOutcome::NotSent);
         sleep(Duration::from_millis(1)).await;
-        // What the controller sends later, it sends knowing of the drain.
+        // A call that is decided on after the drain is sent, because the controller knew of the drain.
         assert_eq!(outcome(&client, address).await, AttemptOutcome::Delivered);
         client.suspend();
         assert_eq!(outcome(&client, address).await, AttemptOutcome::NotSent);
--- a/crates/message-sender/src/delivery/failure_log.rs
+++ b/crates/message-sender/src/delivery/failure_log.rs
@@ -1,27 +1,27 @@
-//! Counts attempts whose connection failed them, for a periodic log event.
+//! Counts attempts that failed because of their connection, for a periodic log event.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Kinds of failures that are distinguished; further ones are not counted.
+/// Maximum number of different failures per log event; failures of further kinds are not counted.
 const MAX_KINDS: usize = 8;
 
-/// What an attempt failed by. Ordered by reason.
+/// How an attempt failed. Ordered by reason.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct FailureKind {
     reason: String,
     is_reused: bool,
 }
 
-/// Attempts that failed since the last log event.
+/// Counts the attempts that failed since the last log event, by kind of failure.
 #[derive(Debug, Default)]
 pub struct FailureLog {
     counts: RefCell<BTreeMap<FailureKind, u32>>,
 }
 
 impl FailureLog {
-    /// Counts a failure, on a connection that had carried an earlier request or not.
+    /// Counts a failure. `is_reused` tells whether the connection had carried an earlier request.
     pub fn record(&self, reason: String, is_reused: bool) {
         let kind = FailureKind { reason, is_reused };
         let mut counts = self.counts.borrow_mut();
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Whether nothing has failed since the last log event.
+    /// Whether no failure was counted since the last log event.
     pub fn is_empty(&self) -> bool {
         self.counts.borrow().is_empty()
     }
 
-    /// Logs what has failed since the last log event, with the idle time up to which connections are reused.
+    /// Logs the failures since the last log event, with the idle time up to which connections are reused.
     pub fn log(&self, trusted_idle_time: Duration) {
         let failures = self.counts.take();
         let trusted_idle_ms = trusted_idle_time.as_millis();
--- a/crates/message-sender/src/delivery/idle_lifetime.rs
+++ b/crates/message-sender/src/delivery/idle_lifetime.rs
@@ -1,21 +1,24 @@
-//! Learns for how long idle connections survive.
+//! Estimates how long idle connections survive.
 //!
-//! Devices between sender and endpoint may forget an idle connection long before the endpoint would close it,
-//! and without notice: it shows only as a reset of the next attempt, which may have been processed by then.
+//! Devices between sender and endpoint may drop an idle connection silently, long before the endpoint would
+//! close it. The sender notices only when the next attempt is reset, and the endpoint may have processed
+//! that attempt.
 
 use std::time::Duration;
 
-/// Idle times are counted in buckets, each twice as long as the one before, from a millisecond on.
+/// Number of buckets for idle times. Each bucket ends at twice the idle time at which it begins. The first
+/// one begins at 1 ms and also counts shorter times; the last one also counts longer times.
 const BUCKETS: usize = 16;
-/// Share of attempts on idle connections that may end as a reset: a handshake costs less than a lost attempt
-/// does, but not nothing.
+/// Maximum acceptable share of attempts on idle connections that are reset. It is above 0 because avoiding
+/// a reset costs a handshake, which is cheaper than a lost attempt but not free.
 const MAX_RESET_SHARE: f64 = 0.15;
-/// Successful attempts that are assumed for each bucket, so that a single reset does not decide.
+/// Number of successful attempts added to each bucket's count, so that a single reset does not rule the
+/// bucket out.
 const ASSUMED_SUCCESSES: f64 = 10.0;
-/// What each decay leaves of the counts, so that trust returns.
+/// Factor applied to all counts at each decay, so that idle times with resets become trusted again.
 const DECAY_FACTOR: f64 = 0.98;
 
-/// How an attempt on a connection that had been idle ended.
+/// Whether a connection that had been idle was still alive at the next attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReuseOutcome {
     /// The connection was alive.
@@ -24,7 +27,7 @@
     Reset,
 }
 
-/// Attempts on connections that had been idle for a similar time; decayed, so not whole numbers.
+/// Counts of attempts on connections that had been idle for a similar time. Decay makes them fractional.
 #[derive(Debug, Default, Clone, Copy)]
 struct ReuseRecord {
     attempts: f64,
@@ -42,17 +45,17 @@
     }
 }
 
-/// Estimates the idle time that connections survive. All endpoints count together: with an estimate for each,
-/// an attempt would have to be lost at each to learn from.
+/// Estimates the idle time that connections survive. One estimate covers all endpoints: with separate
+/// estimates, attempts would have to be lost at each endpoint before its estimate is known.
 #[derive(Debug, Default)]
 pub struct IdleLifetimeEstimator {
     buckets: [ReuseRecord; BUCKETS],
 }
 
 impl IdleLifetimeEstimator {
-    /// Records how an attempt on a connection that had been idle for `idle_for` ended.
+    /// Records the outcome of an attempt on a connection that had been idle for `idle_for`.
     pub fn record(&mut self, idle_for: Duration, outcome: ReuseOutcome) {
-        let record = &mut self.buckets[bucket_of(idle_for)];
+        let record = &mut self.buckets[bucket_index(idle_for)];
         record.attempts += 1.0;
         if outcome == ReuseOutcome::Reset {
             record.resets += 1.0;
@@ -61,10 +64,10 @@
 
     /// Whether a connection that has been idle for `idle_for` may be used.
     pub fn trusts(&self, idle_for: Duration) -> bool {
-        bucket_of(idle_for) < self.trusted_buckets()
+        bucket_index(idle_for) < self.trusted_buckets()
     }
 
-    /// The idle time up to which connections are used; zero if they are used after none.
+    /// The idle time up to which connections are reused; zero if idle connections are not reused at all.
     pub fn trusted_idle_time(&self) -> Duration {
         match self.trusted_buckets() {
             0 => Duration::ZERO,
@@ -72,20 +75,21 @@
         }
     }
 
-    /// Forgets part of what was recorded; to be called each second.
+    /// Reduces the weight of what was recorded. Must be called once per second.
     pub fn decay(&mut self) {
         for record in &mut self.buckets {
             record.decay();
         }
     }
 
-    /// Buckets up to the first with too many resets: a longer idle time is no safer.
+    /// Number of buckets before the first one with too many resets. Buckets after it are not trusted
+    /// either, since a longer idle time is no safer.
     fn trusted_buckets(&self) -> usize {
         self.buckets.iter().take_while(|record| record.is_acceptable()).count()
     }
 }
 
-fn bucket_of(idle_for: Duration) -> usize {
+fn bucket_index(idle_for: Duration) -> usize {
     let ms = u32::try_from(idle_for.as_millis()).unwrap_or(u32::MAX);
     let bucket = ms.max(1).ilog2() as usize;
     bucket.min(BUCKETS - 1)
--- a/crates/message-sender/src/delivery/idle_lifetime/tests.rs
+++ b/crates/message-sender/src/delivery/idle_lifetime/tests.rs
@@ -1,4 +1,4 @@
-//! How the estimate follows resets.
+//! Tests for how the estimate responds to resets.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     }
 }
 
-/// Guards against handshakes for good after a single reset, and against distrust of connections that are
-/// reused at once.
+/// Guards against a new handshake for every attempt from a single reset on, and against resets after long
+/// idle times ending the trust in short ones.
 #[test]
-fn trust_in_idle_connections_is_lost_where_resets_are_and_returns() {
+fn idle_times_with_many_resets_are_not_trusted_until_the_record_decays() {
     let (short, long) = (Duration::from_millis(5), Duration::from_millis(150));
     let mut estimator = IdleLifetimeEstimator::default();
     for number in 0..40 {
--- a/crates/message-sender/src/delivery/mod.rs
+++ b/crates/message-sender/src/delivery/mod.rs
@@ -1,4 +1,4 @@
-//! Outgoing calls: sends each attempt to its endpoint, interprets the response, and reuses connections.
+//! Outgoing calls: sends attempts to endpoints, interprets the responses and reuses connections.
 
 mod attempt;
 mod client;
--- a/crates/message-sender/src/delivery/pool.rs
+++ b/crates/message-sender/src/delivery/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, available for the next attempt to their endpoint.
+//! Keeps idle connections for the next attempt to their endpoint.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,20 +18,22 @@
     idle_since: Instant,
 }
 
-/// A connection out of the pool.
+/// A connection taken from the pool.
 pub struct PooledConnection {
-    /// The connection, on which a request can be sent.
+    /// The connection, ready for a request.
     pub connection: Connection,
-    /// For how long it was idle.
+    /// How long the connection was idle.
     pub idle_for: Duration,
 }
 
-/// Keeps idle connections to all endpoints, the longest idle first, within limits of number and time.
+/// Keeps idle connections to all endpoints, ordered from the longest idle one, and limits their number and
+/// idle time.
 pub struct ConnectionPool {
     idle: RefCell<VecDeque<IdleConnection>>,
-    /// Idle connections and pending reads together, at most.
+    /// Maximum number of idle connections. Pending reads count against it only when another read is to
+    /// begin.
     capacity: usize,
-    /// Responses of attempts that have ended already, which are still being read.
+    /// Number of responses that are still being read although their attempts have ended.
     pending_reads: Cell<usize>,
     max_idle_time: Duration,
     lifetime_estimator: RefCell<IdleLifetimeEstimator>,
@@ -39,7 +41,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool of up to `capacity` connections, each idle for `max_idle_time` at most.
+    /// Creates an empty pool of up to `capacity` connections, each idle for at most `max_idle_time`.
     pub fn new(capacity: usize, max_idle_time: Duration) -> Self {
         Self {
             idle: RefCell::default(),
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Takes the connection to the target that was used last, so that the others may become idle for too
-    /// long. Closes those on the way that cannot be used.
+    /// Takes the most recently used connection to the target, so that the others can reach the maximum idle
+    /// time. Closes unusable connections to the target's endpoint that it finds before that one.
     pub fn take(&self, target: Target) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -73,7 +75,7 @@
     }
 
     /// Keeps a connection for the next attempt, unless its endpoint is saturated. Closes the longest idle
-    /// ones to stay within the pool's capacity.
+    /// connections to stay within the pool's capacity.
     pub fn put(&self, target: Target, mut connection: Connection) {
         if self.saturation.borrow().is_saturated(target.endpoint) {
             return;
@@ -96,15 +98,15 @@
         self.idle.borrow_mut().retain(|idle| idle.target.endpoint != endpoint);
     }
 
-    /// Whether one more response may be read beside the attempts. The descriptor for it comes out of those of
-    /// the idle connections, of which the longest idle ones are closed.
+    /// Whether one more response may be read after its attempt has ended. Its descriptor counts against the
+    /// capacity for idle connections, so the longest idle connections are closed to make room.
     pub fn free_capacity_for_read(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         while self.pending_reads.get() + idle.len() >= self.capacity && idle.pop_front().is_some() {}
         self.pending_reads.get() < self.capacity
     }
 
-    /// Counts a response that is read beside the attempts, until the guard is dropped.
+    /// Counts a response that is read after its attempt has ended, until the returned guard is dropped.
     pub fn begin_read(&self) -> PendingRead<'_> {
         self.pending_reads.set(self.pending_reads.get() + 1);
         PendingRead { pool: self }
@@ -115,28 +117,31 @@
         self.lifetime_estimator.borrow_mut().record(idle_for, outcome);
     }
 
-    /// The idle time up to which connections have proved to survive.
+    /// The idle time up to which connections are expected to survive and are reused.
     pub fn trusted_idle_time(&self) -> Duration {
         self.lifetime_estimator.borrow().trusted_idle_time()
     }
 
-    /// Forgets part of what was recorded of reuse; to be called each second.
+    /// Reduces the weight of what was recorded about reuse. Must be called once per second.
     pub fn decay_lifetimes(&self) {
         self.lifetime_estimator.borrow_mut().decay();
     }
 
-    /// Records that an endpoint has rejected a connection for lack of capacity, and frees what is idle there.
+    /// Records that an endpoint has rejected a connection for lack of capacity, and closes the idle
+    /// connections to it.
     pub fn record_saturation(&self, endpoint: EndpointId) {
         self.close_endpoint(endpoint);
         self.saturation.borrow_mut().record(endpoint);
     }
 
-    /// Lets the idle time that saturation has cut recover by the time that has passed.
+    /// Raises the idle time that saturation has reduced, according to the time `elapsed` since the last
+    /// call.
     pub fn recover_idle_time(&self, elapsed: Duration) {
         self.saturation.borrow_mut().recover(elapsed);
     }
 
-    /// Closes connections that have been idle for too long or were closed by their endpoint.
+    /// Closes connections that have been idle for too long, were closed by their endpoint or received
+    /// unexpected bytes.
     pub fn close_expired(&self) {
         let max_idle_time = self.max_idle_time.mul_f64(self.saturation.borrow().idle_time_scale());
         self.idle
@@ -144,13 +149,13 @@
             .retain(|idle| idle.idle_since.elapsed() < max_idle_time && idle.connection.is_quiet());
     }
 
-    /// Forgets saturation that is long past.
+    /// Forgets endpoints whose saturation has expired.
     pub fn expire_saturation(&self) {
         self.saturation.borrow_mut().expire();
     }
 }
 
-/// A response that is being read while its attempt has ended.
+/// Guard that counts a response as being read after its attempt has ended.
 pub struct PendingRead<'pool> {
     pool: &'pool ConnectionPool,
 }
@@ -174,7 +179,7 @@
         self.idle.borrow().is_empty()
     }
 
-    /// Share of the configured idle time for which connections are kept.
+    /// Share of the maximum idle time for which connections are kept.
     pub fn idle_time_scale(&self) -> f64 {
         self.saturation.borrow().idle_time_scale()
     }
--- a/crates/message-sender/src/delivery/request.rs
+++ b/crates/message-sender/src/delivery/request.rs
@@ -1,4 +1,4 @@
-//! The request of an attempt, with its length on the wire.
+//! Builds the HTTP request of an attempt and computes its length on the wire.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,9 +10,11 @@
 const PATH: &str = "/receive";
 const CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Header with the attempt's timeout, in milliseconds.
 const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
 
-/// A request whose length on the wire is known, to tell whether all of it was written.
+/// A request whose length on the wire is known, so that it can be told whether the request was written in
+/// full.
 pub struct PreparedRequest {
     headers: HeaderMap,
     body: Bytes,
@@ -20,19 +22,19 @@
 }
 
 impl PreparedRequest {
-    /// The request that makes the call.
+    /// Prepares the request for a call.
     pub fn new(call: &Call) -> Self {
         let headers = headers(call);
         let wire_length = (head_length(&headers) + call.body.len()) as u64;
         Self { headers, body: call.body.clone(), wire_length }
     }
 
-    /// Bytes of the whole request on the wire.
+    /// Length of the whole request on the wire, in bytes.
     pub fn wire_length(&self) -> u64 {
         self.wire_length
     }
 
-    /// The request, to be sent once. All copies are the same.
+    /// Creates a copy of the request for sending. All copies are identical.
     pub fn to_request(&self) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = Method::POST;
@@ -42,7 +44,7 @@
     }
 }
 
-/// All headers, so that the HTTP library adds none.
+/// All headers of the request, so that the HTTP library adds none, which would change the computed length.
 fn headers(call: &Call) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(CALL_ID, call.call_id.clone());
--- a/crates/message-sender/src/delivery/request/tests.rs
+++ b/crates/message-sender/src/delivery/request/tests.rs
@@ -1,4 +1,4 @@
-//! The length of requests on the wire.
+//! Tests for the computed length of requests on the wire.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,7 +36,10 @@
 async fn receive(mut stream: TcpStream) -> u64 {
     let mut request = Vec::new();
     while !request.ends_with(BODY) {
-        assert!(stream.read_buf(&mut request).await.unwrap() > 0, "the whole body");
+        assert!(
+            stream.read_buf(&mut request).await.unwrap() > 0,
+            "the connection ended before the whole body arrived"
+        );
     }
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
     request.len() as u64
@@ -54,7 +57,8 @@
     assert_eq!(request.wire_length(), connection.bytes_written());
 }
 
-/// Guards against a request that is taken for written in full too early, or never.
+/// Guards against a request that counts as written in full too early or never, because its computed length
+/// differs from what is written.
 #[tokio::test]
 async fn the_length_of_a_request_is_that_on_the_wire() {
     let test = async {
@@ -62,5 +66,5 @@
         assert_length_is_that_on_the_wire(Some(HeaderValue::from_static("key"))).await;
     };
     let finished = timeout(TIMEOUT, LocalSet::new().run_until(test)).await;
-    assert!(finished.is_ok(), "within {TIMEOUT:?}");
+    assert!(finished.is_ok(), "not finished within {TIMEOUT:?}");
 }
--- a/crates/message-sender/src/delivery/response.rs
+++ b/crates/message-sender/src/delivery/response.rs
@@ -1,4 +1,5 @@
-//! What the status and headers of a response mean, by the protocol's table.
+//! Maps the status and headers of a response to an attempt's result, as defined by the protocol's status
+//! table.
 
 use delivery_control::{AttemptOutcome, LoadReport, Micros};
 use hyper::header::HeaderMap;
@@ -6,13 +7,13 @@
 
 use super::attempt::AttemptResult;
 
-/// The load report, as `x0=0.4,x1=25`.
+/// Header with the load report, such as `x0=0.4,x1=25`.
 const LOAD_REPORT: &str = "x-load-report";
-/// The endpoint was busy and has not processed the message.
+/// Header that says that the endpoint was busy and has not processed the message.
 const BUSY: &str = "x-line-busy";
-/// The Retry-After of a rejection, in milliseconds.
+/// Header with the Retry-After of a rejection, in milliseconds.
 const RETRY_AFTER_MS: &str = "x-come-back-ms";
-/// Bounds a Retry-After, lest arithmetic on it overflow: more than 11 days.
+/// Maximum Retry-After (more than 11 days), so that arithmetic on it cannot overflow.
 const MAX_RETRY_AFTER_MS: f64 = 1e9;
 const MICROS_PER_MS: f64 = 1e3;
 
@@ -21,7 +22,8 @@
     status == StatusCode::OK.as_u16()
 }
 
-/// The result that a response indicates. What the protocol's table does not name may have been processed.
+/// The result that a response indicates. A status that is not in the protocol's table counts as an error:
+/// the message may have been processed.
 pub fn interpret(status: StatusCode, headers: &HeaderMap) -> AttemptResult {
     AttemptResult { load_report: load_report(headers), ..interpret_status(status, headers) }
 }
@@ -39,7 +41,7 @@
     }
 }
 
-/// The Retry-After of a rejection; 0 if there is none that makes sense.
+/// The Retry-After of a rejection; 0 if the header is missing or invalid.
 fn retry_after(headers: &HeaderMap) -> Micros {
     let retry_after_ms = header_number(headers, RETRY_AFTER_MS)
         .filter(|ms| ms.is_finite())
@@ -52,14 +54,14 @@
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// The load report of a response. Values that cannot be parsed, or that make no sense, are left out.
+/// The load report of a response. Values that cannot be parsed, are negative or are not finite are left out.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let text = headers.get(LOAD_REPORT)?.to_str().ok()?;
     let report = deployment_config::load_report(|name| reported_value(text, name));
     (report != LoadReport::default()).then_some(report)
 }
 
-/// The first value of that name in a load report.
+/// The first value with the given name in a load report, if it is valid.
 fn reported_value(report: &str, name: &str) -> Option<f64> {
     let mut entries = report.split(',').filter_map(|entry| entry.split_once('='));
     let (_, value) = entries.find(|(key, _)| key.trim() == name)?;
--- a/crates/message-sender/src/delivery/response/tests.rs
+++ b/crates/message-sender/src/delivery/response/tests.rs
@@ -1,4 +1,4 @@
-//! Load reports in response headers.
+//! Tests for load reports in response headers.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::StatusCode;
@@ -13,7 +13,8 @@
     result.load_report.map(|report| (report.limit_remaining, report.limit))
 }
 
-/// Guards against a reported limit that is not applied, and against values that make no sense.
+/// Guards against reported limits that are lost, and against the use of malformed, negative or infinite
+/// values.
 #[test]
 fn load_reports_are_read_as_far_as_they_make_sense() {
     assert_eq!(reported_limits("x0=0.4,x1=25"), Some((Some(0.4), Some(25.0))));
--- a/crates/message-sender/src/delivery/saturation.rs
+++ b/crates/message-sender/src/delivery/saturation.rs
@@ -1,7 +1,8 @@
-//! Endpoints that have run out of connections, and what that means for keeping connections idle.
+//! Tracks endpoints that have run out of connections and reduces the time for which connections are kept
+//! idle.
 //!
-//! Where many senders call each endpoint rarely, the connections that all of them keep idle fill the few that
-//! an endpoint accepts. What one endpoint runs out of, others soon will.
+//! If many senders call each endpoint rarely, their idle connections use up the few that an endpoint
+//! accepts. When one endpoint runs out of connections, others soon will.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,11 +10,12 @@
 use delivery_control::EndpointId;
 use tokio::time::Instant;
 
-/// For how long no connection is kept idle at an endpoint that has rejected one for lack of capacity.
-const SATURATED_FOR: Duration = Duration::from_secs(60);
-/// What each such rejection leaves of the time for which connections to other endpoints are kept idle.
+/// Time for which no connection is kept idle at an endpoint after it has rejected one for lack of capacity.
+const SATURATION_DURATION: Duration = Duration::from_secs(60);
+/// Factor by which each such rejection reduces the time for which connections to other endpoints are kept
+/// idle.
 const IDLE_TIME_DECREASE: f64 = 0.5;
-/// What each second multiplies that time by again.
+/// Factor by which that time grows again per second, up to its maximum.
 const IDLE_TIME_RECOVERY_PER_SECOND: f64 = 1.03;
 
 /// Tracks which endpoints are saturated, and scales the time for which connections to the others are kept
@@ -31,30 +33,30 @@
 }
 
 impl SaturationTracker {
-    /// Records that an endpoint has rejected a connection for lack of capacity.
+    /// Records that an endpoint has rejected a connection for lack of capacity, and reduces the idle time.
     pub fn record(&mut self, endpoint: EndpointId) {
         self.saturated_at.insert(endpoint, Instant::now());
         self.idle_time_scale *= IDLE_TIME_DECREASE;
     }
 
-    /// Whether an endpoint has recently rejected a connection.
+    /// Whether an endpoint has recently rejected a connection for lack of capacity.
     pub fn is_saturated(&self, endpoint: EndpointId) -> bool {
         self.saturated_at.contains_key(&endpoint)
     }
 
-    /// Share of the configured idle time for which connections are kept, up to 1.
+    /// Share of the maximum idle time for which connections are kept, at most 1.
     pub fn idle_time_scale(&self) -> f64 {
         self.idle_time_scale
     }
 
-    /// Lets the idle time recover by the time that has passed.
+    /// Raises the idle time again, according to the time `elapsed` since the last call.
     pub fn recover(&mut self, elapsed: Duration) {
         let recovery = IDLE_TIME_RECOVERY_PER_SECOND.powf(elapsed.as_secs_f64());
         self.idle_time_scale = (self.idle_time_scale * recovery).min(1.0);
     }
 
-    /// Forgets rejections that are long past.
+    /// Forgets endpoints whose last rejection has expired.
     pub fn expire(&mut self) {
-        self.saturated_at.retain(|_, since| since.elapsed() < SATURATED_FOR);
+        self.saturated_at.retain(|_, since| since.elapsed() < SATURATION_DURATION);
     }
 }
--- a/crates/message-sender/src/delivery/send_restrictions.rs
+++ b/crates/message-sender/src/delivery/send_restrictions.rs
@@ -1,5 +1,5 @@
-//! What forbids the start of attempts that were decided on earlier. Checked once more when a connection is
-//! established, since it may have changed since the decision.
+//! Conditions that forbid sending an attempt that was decided on earlier. They are checked again when the
+//! attempt's connection is established, because they may have changed since the decision.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,17 +14,17 @@
 /// Why an attempt may not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendRestriction {
-    /// The time by which it had to start has passed.
+    /// The attempt's start deadline has passed.
     StartDeadline,
-    /// Its endpoint was drained, or departed, after the decision.
+    /// The attempt's endpoint was drained or has departed since the decision.
     Drained,
-    /// Another process is the sender.
+    /// Another process is now the sender.
     Suspended,
-    /// A Retry-After has arrived.
+    /// A Retry-After is in force on the attempt's route.
     RetryAfter,
 }
 
-/// Retry-After deadlines, drained endpoints, and whether this process sends at all.
+/// Retry-After deadlines by route, drain times by endpoint, and whether sending is suspended.
 #[derive(Debug, Default)]
 pub struct SendRestrictions {
     is_suspended: Cell<bool>,
@@ -33,12 +33,12 @@
 }
 
 impl SendRestrictions {
-    /// Forbids all attempts: another process is the sender.
+    /// Forbids all attempts, because another process is now the sender.
     pub fn suspend(&self) {
         self.is_suspended.set(true);
     }
 
-    /// Allows attempts again.
+    /// Allows attempts again after `suspend`.
     pub fn resume(&self) {
         self.is_suspended.set(false);
     }
@@ -48,7 +48,7 @@
         self.is_suspended.get()
     }
 
-    /// What forbids an attempt that was decided on then, if anything does.
+    /// The restriction, if any, that forbids an attempt to the endpoint that was decided on at `decided_at`.
     pub fn find(&self, endpoint: EndpointId, decided_at: Instant, route: Route) -> Option<SendRestriction> {
         if self.is_drained_since(endpoint, decided_at) {
             return Some(SendRestriction::Drained);
@@ -69,7 +69,8 @@
         self.drained_at.borrow().get(&endpoint).is_some_and(|drained_at| *drained_at >= decided_at)
     }
 
-    /// Forbids attempts on a route for `retry_after` from now on, unless a longer time is in force.
+    /// Forbids attempts on a route for `retry_after` from now on, unless a later deadline is already in
+    /// force.
     pub fn record_retry_after(&self, route: Route, retry_after: Micros) {
         if retry_after <= 0 {
             return;
@@ -80,13 +81,13 @@
         *deadline = until.max(*deadline);
     }
 
-    /// Whether the route's Retry-After has not passed yet.
+    /// Whether a Retry-After is still in force on the route.
     fn awaits_retry_after(&self, route: Route) -> bool {
         self.retry_after_until.borrow().get(&route).is_some_and(|until| *until > Instant::now())
     }
 
-    /// Forgets Retry-After deadlines that have passed, and drains that lie back further than
-    /// `max_connect_time`: attempts that were decided on before have been started since, or never will be.
+    /// Forgets Retry-After deadlines that have passed and drains that are at least `max_connect_time` old:
+    /// attempts that were decided on before such a drain have started by now, or never will.
     pub fn expire(&self, max_connect_time: Duration) {
         self.retry_after_until.borrow_mut().retain(|_, until| *until > Instant::now());
         self.drained_at.borrow_mut().retain(|_, drained_at| drained_at.elapsed() < max_connect_time);
