--- a/crates/message-sender/src/client_api/linger.rs
+++ b/crates/message-sender/src/client_api/linger.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::instrumented_stream::is_to_be_repeated;
+use crate::instrumented_stream::should_retry_io;
 
 /// How long the client has to read the answer and close.
 const LINGER_TIME: Duration = Duration::from_millis(500);
@@ -35,7 +35,7 @@
         match stream.try_read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(bytes) => bytes_read += bytes,
-            Err(error) if is_to_be_repeated(&error) => {}
+            Err(error) if should_retry_io(&error) => {}
             Err(error) => return Err(error),
         }
     }
--- a/crates/message-sender/src/handover/stream.rs
+++ b/crates/message-sender/src/handover/stream.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::UnixStream;
 
-use crate::instrumented_stream::is_to_be_repeated;
+use crate::instrumented_stream::should_retry_io;
 
 /// A connection whose reads and writes go on after an interruption, which the runtime's own do not, and which
 /// takes a short read for what it is: more may have arrived already.
@@ -46,7 +46,7 @@
         loop {
             ready!(self.stream.poll_read_ready(context))?;
             match self.stream.try_read(buffer.initialize_unfilled()) {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if should_retry_io(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(bytes) => {
                     buffer.advance(bytes);
@@ -62,7 +62,7 @@
         loop {
             ready!(self.stream.poll_write_ready(context))?;
             match self.stream.try_write(bytes) {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if should_retry_io(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
--- a/crates/message-sender/src/instrumented_stream.rs
+++ b/crates/message-sender/src/instrumented_stream.rs
@@ -13,7 +13,7 @@
 
 /// Whether a call on a non-blocking socket had no effect and must be repeated: immediately if it was
 /// interrupted, otherwise once the socket is ready.
-pub fn is_to_be_repeated(error: &io::Error) -> bool {
+pub fn should_retry_io(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
@@ -48,7 +48,7 @@
         loop {
             ready!(self.stream.poll_write_ready(context))?;
             match write(&self.stream) {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if should_retry_io(&error) => {}
                 written => {
                     if let Ok(bytes) = written {
                         self.observer.written(bytes);
@@ -69,7 +69,7 @@
         loop {
             ready!(self.stream.poll_read_ready(context))?;
             match self.stream.try_read(buffer.initialize_unfilled()) {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if should_retry_io(&error) => {}
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(bytes) => {
                     let filled_before = buffer.filled().len();
