--- a/crates/message-sender/src/delivery/pool.rs
+++ b/crates/message-sender/src/delivery/pool.rs
@@ -71,7 +71,7 @@
         candidate.target.address == target.address
             && idle_for < self.max_idle_time
             && self.lifetime_estimator.borrow().trusts(idle_for)
-            && candidate.connection.is_quiet()
+            && candidate.connection.is_reusable()
     }
 
     /// Keeps a connection for the next attempt, unless its endpoint is saturated. Closes the longest idle
@@ -146,7 +146,7 @@
         let max_idle_time = self.max_idle_time.mul_f64(self.saturation.borrow().idle_time_scale());
         self.idle
             .borrow_mut()
-            .retain(|idle| idle.idle_since.elapsed() < max_idle_time && idle.connection.is_quiet());
+            .retain(|idle| idle.idle_since.elapsed() < max_idle_time && idle.connection.is_reusable());
     }
 
     /// Forgets endpoints whose saturation has expired.
--- a/crates/message-sender/src/discovery/client.rs
+++ b/crates/message-sender/src/discovery/client.rs
@@ -103,7 +103,7 @@
     }
 
     async fn take_or_open_connection(&mut self) -> Result<Connection, DiscoveryError> {
-        match self.connection.take().filter(Connection::is_quiet) {
+        match self.connection.take().filter(Connection::is_reusable) {
             Some(connection) => Ok(connection),
             None => Connection::open(self.address)
                 .await
--- a/crates/message-sender/src/http_connection/connection.rs
+++ b/crates/message-sender/src/http_connection/connection.rs
@@ -141,7 +141,7 @@
     /// Whether another request can be sent and nothing has arrived since the last response. Peeks at the
     /// socket, since bytes that have arrived but were not read yet would be taken for the response to the
     /// next request.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         self.sender.is_ready() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
