--- a/crates/message-sender/src/client_api/linger.rs
+++ b/crates/message-sender/src/client_api/linger.rs
@@ -1,7 +1,8 @@
-//! Closes a connection on which an error was answered before all of the request had been read.
+//! Lingering close of a connection on which an error was answered before the whole request had been read.
 //!
-//! A close over bytes that were not read resets the connection, and the answer may be lost with it. So what
-//! the client still sends is read and dropped for a while, until it closes too.
+//! If a socket is closed while received bytes are unread, TCP resets the connection, and the client may lose
+//! the answer. Therefore whatever the client still sends is read and discarded for a while, until the client
+//! closes the connection too.
 
 use std::io;
 use std::net::Shutdown;
@@ -13,17 +14,19 @@
 
 use crate::instrumented_stream::is_to_be_repeated;
 
-/// How long the client has to read the answer and close.
+/// How long the client has to read the answer and close the connection.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-/// Most that is read; a client that sends more does not wait for an answer.
+/// Maximum number of bytes that are read and discarded. A client that sends more does not wait for an answer.
 const MAX_LINGER_BYTES: usize = 512 * 1024;
+/// Size of the buffer that bytes are read into before they are discarded.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Reads what the client still sends until it closes, for a bounded time and amount.
+/// Reads and discards what the client still sends until it closes the connection, up to a limit of time and
+/// of bytes.
 pub async fn linger(stream: &TcpStream) {
-    // Fails only where the connection has ended.
+    // Fails only if the connection has already ended.
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
-    // Without the client's close the connection is closed all the same.
+    // The connection is closed afterwards, even if the client has not closed it.
     let _ = timeout(LINGER_TIME, read_to_end(stream)).await;
 }
 
--- a/crates/message-sender/src/client_api/request.rs
+++ b/crates/message-sender/src/client_api/request.rs
@@ -1,4 +1,4 @@
-//! Decodes the head of a client's request. Nothing that is malformed gets past this.
+//! Decodes and validates the head of a client's request, and rejects all malformed input.
 
 use bytes::Bytes;
 use delivery_control::{Idempotency, Micros, Settings};
@@ -9,9 +9,9 @@
 use super::error::RequestError;
 use crate::submission::Submission;
 
-/// The longest body that the protocol allows.
+/// Maximum length of a body that the protocol allows.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// The longest header value or order key that is accepted.
+/// Maximum length of a header value or an order key.
 const MAX_TEXT_BYTES: usize = 256;
 
 const MICROS_PER_MILLI: u64 = 1000;
@@ -19,7 +19,7 @@
 const CLASS_HEADER: &str = "x-call-class";
 const KEY_HEADER: &str = "idempotency-key";
 const CALL_ID_HEADER: &str = "x-call-id";
-/// How long the client waits, in milliseconds.
+/// The time that the client allows for the message, in milliseconds.
 const BUDGET_HEADER: &str = "x-budget-ms";
 /// Names the destination, as in `dest=7`.
 const DESTINATION_HEADER: &str = "x-consignee";
@@ -27,15 +27,15 @@
 const TENANT_HEADER: &str = "x-caller";
 /// Marks a message that was submitted before.
 const RESUBMISSION_HEADER: &str = "x-again";
-/// Another sender had accepted the message before it died.
+/// Value of [`RESUBMISSION_HEADER`]: another sender accepted the message and then died.
 const RETURNED: &str = "again";
-/// The client retries.
+/// Value of [`RESUBMISSION_HEADER`]: the client retries the message.
 const REPEAT: &str = "1";
-/// The query parameter that holds the order key, with its separator.
+/// The query parameter that holds the order key, including the `=`.
 const ORDER_KEY_PARAMETER: &str = "subject=";
 
-/// The length of the body that follows a head. A chunked body is rejected: clients state the length, and a
-/// request that does both may hide another one in its body.
+/// The length of the body that follows a head, in bytes. Chunked bodies are rejected: clients state the
+/// length, and a request that is chunked and states a length as well may smuggle another request in its body.
 pub fn body_length(headers: &HeaderMap) -> Result<u64, RequestError> {
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::ChunkedBody);
@@ -49,7 +49,7 @@
     Ok(length)
 }
 
-/// Decodes the head of a message. The body of the submission is empty.
+/// Decodes the head of a request that submits a message. The body of the returned submission is empty.
 pub fn decode(
     settings: &Settings,
     names: &Names,
@@ -61,17 +61,17 @@
     if header(headers, CLASS_HEADER)? != Some(class_name) {
         return Err(RequestError::Header(CLASS_HEADER));
     }
-    let rules = &settings.classes[class];
+    let class_settings = &settings.classes[class];
     let key = non_empty_header(headers, KEY_HEADER)?;
-    if rules.idempotency == Idempotency::WithKey && key.is_none() {
+    if class_settings.idempotency == Idempotency::WithKey && key.is_none() {
         return Err(RequestError::Header(KEY_HEADER));
     }
     let call_id = non_empty_header(headers, CALL_ID_HEADER)?.ok_or(RequestError::Header(CALL_ID_HEADER))?;
     let budget = budget(headers)?;
     let destination = destination(headers)?;
-    // A tenant that the settings do not list has no quota.
+    // A tenant that the settings do not list is ignored, as it has no quota.
     let tenant = header(headers, TENANT_HEADER)?.and_then(|name| names.tenant(name));
-    let order_key = if rules.ordered { order_key(uri)? } else { None };
+    let order_key = if class_settings.ordered { order_key(uri)? } else { None };
     let resubmission = header(headers, RESUBMISSION_HEADER)?;
     Ok(Submission {
         call_id: call_id.to_owned(),
@@ -81,8 +81,8 @@
         destination,
         tenant,
         order_key: order_key.map(str::to_owned),
-        // No message is buffered for longer than its class allows, however long its client would wait.
-        time_left: budget.min(rules.deadline),
+        // A message is buffered for no longer than its class allows, even if its client would wait longer.
+        time_left: budget.min(class_settings.deadline),
         returned: resubmission == Some(RETURNED),
         repeat: resubmission == Some(REPEAT),
         body: Bytes::new(),
@@ -94,7 +94,7 @@
     path.trim_start_matches('/').split('/').next().unwrap_or_default()
 }
 
-/// How long the client waits.
+/// The time that the client allows for the message.
 fn budget(headers: &HeaderMap) -> Result<Micros, RequestError> {
     let millis = header(headers, BUDGET_HEADER)?.and_then(parse_digits);
     let millis = millis.ok_or(RequestError::Header(BUDGET_HEADER))?;
@@ -108,7 +108,8 @@
     destination.ok_or(RequestError::Header(DESTINATION_HEADER))
 }
 
-/// The order key as the client wrote it: it is only compared, never decoded.
+/// The first order key in the query that is not empty. It is not percent-decoded, because order keys are only
+/// compared.
 fn order_key(uri: &Uri) -> Result<Option<&str>, RequestError> {
     let parameters = uri.query().unwrap_or_default().split('&');
     let mut keys = parameters.filter_map(|parameter| parameter.strip_prefix(ORDER_KEY_PARAMETER));
@@ -118,7 +119,8 @@
     }
 }
 
-/// A header's value without the spaces around it, if it stands there once, is plain text and is not too long.
+/// A header's value without surrounding spaces. It is an error if the header occurs more than once, is not
+/// plain text, or is too long.
 fn header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -129,13 +131,13 @@
     Ok(Some(value))
 }
 
-/// As [`header`]; an empty value counts as none.
+/// Like [`header`], but an empty value counts as a missing header.
 fn non_empty_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let value = header(headers, name)?;
     Ok(value.filter(|value| !value.is_empty()))
 }
 
-/// Digits only: no sign, no spaces.
+/// Parses a decimal number that consists of digits only, without sign or spaces.
 fn parse_digits(text: &str) -> Option<u64> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -143,7 +145,7 @@
     text.parse().ok()
 }
 
-/// The value of a name in a list such as `dest=7, other=x`.
+/// The value of the parameter `name` in a list such as `dest=7, other=x`.
 fn parameter<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     let pairs = list.split([',', ';']).filter_map(|part| part.trim().split_once('='));
     for (key, value) in pairs {
--- a/crates/message-sender/src/client_api/response.rs
+++ b/crates/message-sender/src/client_api/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients. None has a body.
+//! Responses to clients. No response has a body.
 
 use bytes::Bytes;
 use delivery_control::Micros;
@@ -10,17 +10,17 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a request leads to.
+/// The reply to a request that is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// A health check's status.
+    /// The status of a health check.
     Health(StatusCode),
-    /// What became of a message.
+    /// The reply to the submission of a message.
     Submission(SubmissionReply),
 }
 
 impl Reply {
-    /// The response to the client.
+    /// Converts the reply to the HTTP response for the client.
     pub fn into_response(self) -> Response<Empty<Bytes>> {
         match self {
             Self::Health(status) => empty(status),
@@ -32,14 +32,14 @@
     }
 }
 
-/// A response with a status and no more.
+/// A response that consists of a status only.
 pub fn empty(status: StatusCode) -> Response<Empty<Bytes>> {
     let mut response = Response::new(Empty::new());
     *response.status_mut() = status;
     response
 }
 
-/// A rejection; a Retry-After of 0 is left out.
+/// The response to a rejected submission. A `retry_after` of 0 adds no `Retry-After` header.
 fn rejected(retry_after: Micros) -> Response<Empty<Bytes>> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > 0 {
--- a/crates/message-sender/src/client_api/server.rs
+++ b/crates/message-sender/src/client_api/server.rs
@@ -1,4 +1,4 @@
-//! Serves clients' connections and routes their requests.
+//! Serves client connections and routes their requests.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -27,39 +27,41 @@
 use crate::serving_state::ServingState;
 use crate::submission::{Submission, SubmissionReply};
 
-/// The longest head, and what is buffered of a connection at most.
+/// Maximum size of a request's head, and of the buffer of a connection.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
-/// Where load balancers ask whether the sender serves.
+/// Path at which load balancers check whether the sender serves.
 const HEALTH_PATH: &str = "/healthz";
 
-/// A client's connection, whose slot sees what is received.
+/// A client connection that reports the bytes received to its slot.
 type ClientStream = TokioIo<InstrumentedStream<ConnectionSlot>>;
 
-/// What the handlers of all connections share.
+/// The client API, shared by the handlers of all connections.
 pub struct ClientApi {
-    /// The settings that messages are checked against.
+    /// The settings that messages are validated against.
     pub settings: Settings,
-    /// The classes and tenants by name.
+    /// The names of classes and tenants.
     pub names: Names,
-    /// Where messages are submitted to the event loop.
+    /// The channel that submits messages to the event loop.
     pub inbox: mpsc::Sender<SenderEvent>,
-    /// While the process does not serve, connections are closed as soon as their requests are answered.
+    /// The serving state of the process. While it does not serve, connections are closed as soon as their
+    /// requests are answered.
     pub serving_state: watch::Receiver<ServingState>,
-    /// Bounds the connections.
+    /// Limits the number of open connections.
     pub limiter: Rc<ConnectionLimiter>,
 }
 
 impl ClientApi {
-    /// Accepts connections until it is dropped, also while draining: load balancers notice only after a
-    /// while.
+    /// Accepts connections until the future is dropped, also while the process drains, because load balancers
+    /// notice the drain only after a while.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let limiter = self.limiter.clone();
         limiter.serve(listener, |stream, slot| self.clone().serve_connection(stream, slot)).await;
     }
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream, slot: Rc<ConnectionSlot>) {
-        // Without it answers may wait for the client's acknowledgement; a socket that denies it is broken.
+        // Without `TCP_NODELAY`, an answer may be delayed until the client acknowledges earlier data. A
+        // socket on which the option cannot be set is broken.
         if stream.set_nodelay(true).is_err() {
             return;
         }
@@ -73,21 +75,22 @@
             async move { Ok::<_, Infallible>(api.answer(request, &slot).await) }
         });
         let mut server = http1::Builder::new();
-        // The slot has the time-out, one for head and body together.
+        // The slot has a single timeout for head and body together.
         server.header_read_timeout(None).max_buf_size(MAX_BUFFER_BYTES);
         let connection = server.serve_connection(io, service);
         let driven = self.drive_connection(connection, &slot).await;
         if let Err(error) = &driven {
             tracing::debug!(%error, "client connection failed");
         }
-        // A connection that is closed between requests is not read any more: its client sends what crosses
-        // the close again.
+        // After a close between requests, nothing more is read: a client whose request crosses the close
+        // sends it again.
         if driven.is_err() || slot.has_unread_request() {
             linger(&stream).await;
         }
     }
 
-    /// Drives a connection to its end, which comes by itself or once the process serves no longer.
+    /// Drives a connection until it ends. When the process stops serving, the connection is shut down
+    /// gracefully.
     async fn drive_connection<S>(
         &self,
         connection: http1::Connection<ClientStream, S>,
@@ -102,9 +105,10 @@
             tokio::select! {
                 served = &mut connection => return served,
                 () = ServingState::wait_until_not_serving(&mut serving_state) => {
-                    // A connection that is accepted while draining gets its first request read; the answer
-                    // closes it. So does one on which part of a request has been received: the library takes
-                    // it for idle, and its client may have written all of the request.
+                    // A connection that is accepted while draining is not shut down here: its first request
+                    // is read, and the answer closes it. The same holds for a connection on which part of a
+                    // request has been received: hyper would treat it as idle and close it, although its
+                    // client may have sent the whole request.
                     if !slot.has_pending_request() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Answers one request. Nothing more is read from a client that breaks the protocol.
+    /// Answers one request. If the request breaks the protocol or its answer is a client error (4xx), the
+    /// connection is closed and no further request is read from it.
     async fn answer(&self, request: Request<Incoming>, slot: &ConnectionSlot) -> Response<Empty<Bytes>> {
         let body_length = body_length(request.headers());
         let routed = match body_length {
@@ -175,7 +180,7 @@
         let mut submission = decode(&self.settings, &self.names, &head.uri, &head.headers)?;
         let body = Limited::new(body, MAX_BODY_BYTES as usize).collect().await;
         let body = body.map_err(|_| RequestError::IncompleteBody)?.to_bytes();
-        // A copy: the bytes as read are a slice of a far larger buffer, which they would keep alive.
+        // Copied, because the received bytes are a slice of a much larger buffer and would keep it allocated.
         submission.body = Bytes::copy_from_slice(&body);
         if !slot.holds_one_request(body_length) {
             return Err(RequestError::TrailingBytes);
@@ -185,8 +190,8 @@
     }
 
     async fn submit(&self, submission: Submission) -> Result<SubmissionReply, RequestError> {
-        // If the client goes away, this future is dropped, and the event loop finds its end of `reply`
-        // closed.
+        // If the client disconnects, this future and with it `answer` are dropped, and the event loop finds
+        // `reply` closed.
         let (reply, answer) = oneshot::channel();
         let event = SenderEvent::Submitted(Box::new(submission), reply);
         self.inbox.send(event).await.map_err(|_| RequestError::Unavailable)?;
--- a/crates/message-sender/src/client_api/tests.rs
+++ b/crates/message-sender/src/client_api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoding of requests, without sockets.
+//! Tests of the decoding of requests and the encoding of responses, without sockets.
 
 use delivery_control::Settings;
 use deployment_config::{Config, Names};
@@ -12,7 +12,8 @@
 
 const DEADLINE_MS: f64 = 8000.0;
 
-fn terms() -> (Settings, Names) {
+/// The settings with one class that requires idempotency keys and one ordered class, and their names.
+fn settings_and_names() -> (Settings, Names) {
     let config = serde_json::json!({
         "balancers": 1, "ordinal": 0,
         "categories": [
@@ -24,20 +25,21 @@
         "orgs": [{"name": "acme", "allowancePerS": 1.0}],
         "limits": {"mostHeld": 1, "sendCap": 1}, "rules": {},
     });
-    let config: Config = serde_json::from_value(config).expect("a configuration");
-    (config.settings().expect("settings"), config.names())
+    let config: Config = serde_json::from_value(config).expect("valid configuration");
+    (config.settings().expect("valid settings"), config.names())
 }
 
 fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in pairs {
-        let name = HeaderName::from_bytes(name.as_bytes()).expect("a header name");
-        headers.append(name, HeaderValue::from_str(value).expect("a header value"));
+        let name = HeaderName::from_bytes(name.as_bytes()).expect("valid header name");
+        headers.append(name, HeaderValue::from_str(value).expect("valid header value"));
     }
     headers
 }
 
-const KEYED: [(&str, &str); 5] = [
+/// The headers of a valid submission of the class `keyed`.
+const KEYED_HEADERS: [(&str, &str); 5] = [
     ("x-call-class", "keyed"),
     ("idempotency-key", "k1"),
     ("x-call-id", "c1"),
@@ -46,13 +48,13 @@
 ];
 
 fn decode_from(uri: &str, headers: &HeaderMap) -> Result<Submission, RequestError> {
-    let (settings, names) = terms();
-    decode(&settings, &names, &Uri::try_from(uri).expect("a URI"), headers)
+    let (settings, names) = settings_and_names();
+    decode(&settings, &names, &Uri::try_from(uri).expect("valid URI"), headers)
 }
 
 #[test]
 fn a_complete_head_is_decoded() {
-    let mut pairs = KEYED.to_vec();
+    let mut pairs = KEYED_HEADERS.to_vec();
     pairs.push(("x-caller", "acme"));
     pairs.push(("x-again", "1"));
     let submission = decode_from("/keyed/more?subject=s", &headers(&pairs)).expect("a message");
@@ -72,10 +74,10 @@
         ("x-budget-ms", "-1"),
         ("x-consignee", "dest=+7"),
     ] {
-        let without: Vec<_> = KEYED.into_iter().filter(|(other, _)| *other != name).collect();
+        let without: Vec<_> = KEYED_HEADERS.into_iter().filter(|(other, _)| *other != name).collect();
         let mut malformed = without.clone();
         malformed.push((name, value));
-        let mut twice = KEYED.to_vec();
+        let mut twice = KEYED_HEADERS.to_vec();
         twice.push((name, "x"));
         for pairs in [without, malformed, twice] {
             let error = decode_from("/keyed", &headers(&pairs)).expect_err(name);
@@ -86,7 +88,7 @@
 
 #[test]
 fn an_unknown_class_is_not_found() {
-    let error = decode_from("/parcel", &headers(&KEYED)).expect_err("no such class");
+    let error = decode_from("/parcel", &headers(&KEYED_HEADERS)).expect_err("unknown class");
     assert_eq!((error, error.status()), (RequestError::UnknownClass, StatusCode::NOT_FOUND));
 }
 
@@ -100,11 +102,11 @@
     ]);
     let submission = decode_from("/ordered?subject=&x=1&subject=a%20b", &ordered).expect("a message");
     assert_eq!(submission.order_key.as_deref(), Some("a%20b"));
-    assert_eq!(submission.time_left, 8_000_000, "no longer than the class allows");
+    assert_eq!(submission.time_left, 8_000_000, "limited to the deadline of the class");
     let long = format!("/ordered?subject={}", "x".repeat(257));
     assert_eq!(decode_from(&long, &ordered).expect_err("too long"), RequestError::OrderKeyTooLong);
     let unordered = format!("/keyed?subject={}", "x".repeat(257));
-    assert_eq!(decode_from(&unordered, &headers(&KEYED)).expect("a message").order_key, None);
+    assert_eq!(decode_from(&unordered, &headers(&KEYED_HEADERS)).expect("a message").order_key, None);
 }
 
 #[test]
--- a/crates/message-sender/src/connection_limiter/accept.rs
+++ b/crates/message-sender/src/connection_limiter/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections as far as the limiter has slots.
+//! Accepts connections while the limiter has slots for them.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -10,14 +10,14 @@
 use super::{ConnectionLimiter, ConnectionSlot};
 use crate::log_limit::LogLimit;
 
-/// Least time between log lines on failed accepts.
+/// Minimum time between log lines about failed accepts.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after a failed accept: its cause, such as a lack of descriptors, will not be gone at once.
+/// Pause after a failed accept, because its cause, such as a lack of file descriptors, takes time to go away.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 impl ConnectionLimiter {
-    /// Accepts connections until it is dropped, and runs `handle` for each in a task of its own, until that
-    /// ends or the limiter closes the connection.
+    /// Accepts connections until the future is dropped. Each connection gets its own task, which runs
+    /// `handle` until it ends or the limiter closes the connection.
     pub async fn serve<F>(
         self: Rc<Self>,
         listener: TcpListener,
@@ -47,7 +47,8 @@
     ) where
         F: Future<Output = ()> + 'static,
     {
-        // Before the next connection is accepted, so that all that are open are counted.
+        // The slot is occupied here and not in the task, so that each open connection is counted before the
+        // next one is accepted.
         let occupied = self.occupy();
         let handler = handle(stream, occupied.slot());
         tokio::task::spawn_local(async move {
@@ -55,7 +56,7 @@
             tokio::select! {
                 () = handler => {}
                 () = slot.wait_until_closed() => {
-                    tracing::debug!(reason = ?slot.close_reason(), "client connection closed here");
+                    tracing::debug!(reason = ?slot.close_reason(), "connection closed by the limiter");
                 }
             }
         });
--- a/crates/message-sender/src/connection_limiter/limiter.rs
+++ b/crates/message-sender/src/connection_limiter/limiter.rs
@@ -1,4 +1,4 @@
-//! The slots of all connections of a listener.
+//! Limits the open connections of one listener, and evicts a connection if a new one finds no free slot.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,25 +11,29 @@
 use super::slot::Phase;
 use super::ConnectionSlot;
 
-/// How often connections are checked for time-outs.
+/// Interval between checks for timed-out connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
-/// How often [`ConnectionLimiter::wait_until_quiet`] checks for pending requests.
+/// Interval between the checks of [`ConnectionLimiter::wait_until_quiet`] for pending requests.
 const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bounds how many connections are open at once.
+/// Limits how many connections are open at the same time.
 pub struct ConnectionLimiter {
+    /// Maximum number of open connections, including those reserved for a predecessor process.
     capacity: usize,
-    /// Slots of the capacity that the connections of a predecessor process take.
+    /// Number of slots that are left to the connections of a predecessor process.
     reserved: Cell<usize>,
-    /// Connections that were evicted and have not closed yet: they still hold their descriptors.
+    /// Number of connections that were evicted but are not closed yet, and so still hold their file
+    /// descriptors.
     evictions_pending: Cell<usize>,
+    /// The slots of all open connections, by numbers that are assigned in the order of acceptance.
     slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
+    /// The number of the next connection in `slots`.
     next_number: Cell<u64>,
-    /// Signalled when a slot may have become available.
+    /// Notified when a slot may have become available.
     changed: Notify,
 }
 
-/// A slot that is occupied until this is dropped.
+/// Holds the slot of a connection, and releases it when dropped.
 pub(super) struct OccupiedSlot {
     limiter: Rc<ConnectionLimiter>,
     number: u64,
@@ -49,7 +53,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter for so many connections.
+    /// Creates a limiter for at most `capacity` connections.
     pub fn new(capacity: usize) -> Rc<Self> {
         Rc::new(Self {
             capacity,
@@ -66,8 +70,8 @@
         self.slots.borrow().len()
     }
 
-    /// Whether a request is pending on some connection. A connection that has not had a request answered yet
-    /// counts: it was made to submit one.
+    /// Whether a request is pending on any connection. A connection on which no request has been answered yet
+    /// counts as well, because its client opened it to send one.
     pub fn has_pending_request(&self) -> bool {
         self.slots.borrow().values().any(|slot| slot.has_pending_request() || slot.awaits_first_answer())
     }
@@ -79,20 +83,20 @@
         }
     }
 
-    /// Leaves so many slots to connections that a predecessor process still holds. At least one connection is
-    /// accepted all the same.
+    /// Reserves slots for the connections that a predecessor process still holds. One slot stays available in
+    /// any case.
     pub fn reserve_for_predecessor(&self, connections: usize) {
         self.reserved.set(connections);
         self.changed.notify_one();
     }
 
-    /// The request on this slot has been answered.
+    /// Records that the request on this slot has been answered.
     pub fn mark_answered(&self, slot: &ConnectionSlot) {
         slot.mark_answered();
         self.changed.notify_one();
     }
 
-    /// Closes connections that have timed out, until it is dropped.
+    /// Closes timed-out connections at regular intervals, until the future is dropped.
     pub async fn run_maintenance(self: Rc<Self>) {
         loop {
             sleep(MAINTENANCE_INTERVAL).await;
@@ -100,16 +104,17 @@
         }
     }
 
-    /// Waits until another connection can have a slot: always, unless requests are being processed on all,
-    /// and once those that were evicted have closed. Otherwise many clients that connect at once would take
-    /// the descriptors of discovery and endpoints.
+    /// Waits until a new connection can get a slot: until all evicted connections have closed and, if no slot
+    /// is free, until a connection can be evicted because no request is being processed on it. Without this
+    /// wait, many clients that connect at once would use up the file descriptors that discovery and the
+    /// connections to endpoints need.
     pub(super) async fn wait_for_slot(&self) {
         while self.evictions_pending.get() > 0 || (self.is_full() && self.eviction_candidate().is_none()) {
             self.changed.notified().await;
         }
     }
 
-    /// Gives a new connection its slot. Where none is free, the connection that has been without a request
+    /// Assigns a slot to a new connection. If none is free, the connection that has been without a request
     /// for longest is evicted.
     pub(super) fn occupy(self: &Rc<Self>) -> OccupiedSlot {
         if self.is_full() {
@@ -122,12 +127,15 @@
         OccupiedSlot { limiter: self.clone(), number, slot }
     }
 
+    /// Whether no slot is free.
     pub(super) fn is_full(&self) -> bool {
         let available = self.capacity.saturating_sub(self.reserved.get()).max(1);
         self.open_connections() >= available
     }
 
-    /// An idle connection before one on which a request is being received, and the oldest of each.
+    /// The connection to evict if a new one needs a slot. Idle connections come before those on which a
+    /// request is being received; among each, the one whose phase began first. Connections on which a request
+    /// is being processed are not evicted.
     pub(super) fn eviction_candidate(&self) -> Option<Rc<ConnectionSlot>> {
         let slots = self.slots.borrow();
         let evictable = slots.values().filter(|slot| slot.phase() != Phase::Processing);
--- a/crates/message-sender/src/connection_limiter/mod.rs
+++ b/crates/message-sender/src/connection_limiter/mod.rs
@@ -1,8 +1,8 @@
-//! Bounds how many connections are open on a listener, and decides which of them are closed.
+//! Limits how many connections are open on a listener, and decides which connections are closed.
 //!
-//! Each connection has a [`ConnectionSlot`] that knows whether a request is being received or processed on
-//! it. A client that sends nothing, or never finishes its request, must not keep others out: such connections
-//! are closed after a time-out, and earlier where a new connection needs the slot.
+//! Each connection has a [`ConnectionSlot`] that records whether a request is being received or processed on
+//! it. Clients that send nothing, or never finish a request, must not keep other clients from connecting:
+//! their connections are closed after a timeout, or earlier if a new connection needs the slot.
 
 mod accept;
 mod limiter;
--- a/crates/message-sender/src/connection_limiter/slot.rs
+++ b/crates/message-sender/src/connection_limiter/slot.rs
@@ -1,4 +1,4 @@
-//! What the limiter knows about one connection.
+//! The state of one connection, from which the limiter decides when to close it.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,49 +8,55 @@
 
 use crate::instrumented_stream::StreamObserver;
 
-/// One time-out for a request's head and body, from the connection's start or from the request's first byte
-/// on. A client must get an answer or see the connection closed within 3 s, and may have waited in the
+/// Timeout for receiving a request, head and body together. It runs from the start of the connection for the
+/// first request, and from the first byte for each later one. It is shorter than the 3 s within which a
+/// client must get an answer or see the connection closed, because the client may have waited in the listen
 /// backlog before.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A connection without a request may be closed after 2 s. While there is capacity it may stay a little
-/// longer: clients that submit often then need no new one.
+/// Timeout for a connection between requests. A connection without a request may be closed after 2 s; while
+/// there are free slots it is kept a little longer, so that clients that submit often need not reconnect.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What happens on a connection.
+/// How far the current request of a connection has got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Between requests, or no byte has been received yet.
+    /// No byte of the next request has been received yet.
     Idle,
     /// Part of a request has been received.
     Receiving,
-    /// A request has been received completely and is not answered yet.
+    /// A request has been received completely but not answered yet.
     Processing,
 }
 
-/// Why a connection is closed here, and not by its client or with an answer.
+/// Why the limiter closes a connection that neither its client nor an answer has closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
     /// A new connection needs the slot.
     Evicted,
-    /// The request was not complete in time, or none came on a new connection.
+    /// The request was not complete in time, or none arrived on a new connection.
     RequestTimeout,
-    /// No further request came.
+    /// No further request arrived in time.
     IdleTimeout,
 }
 
-/// The slot of one connection.
+/// The slot that an open connection occupies, with the state of the connection.
 pub struct ConnectionSlot {
     phase: Cell<Phase>,
+    /// When the connection became idle or its request began to arrive. For the first request, this is the
+    /// start of the connection.
     phase_started: Cell<Instant>,
+    /// Whether a request on this connection has been answered.
     has_answered: Cell<bool>,
+    /// Why the limiter has asked for the connection to be closed, if it has.
     close_reason: Cell<Option<CloseReason>>,
-    /// An error was answered before the request had been read to its end.
+    /// Whether an error was answered before the request had been read completely.
     has_unread_request: Cell<bool>,
-    /// Wakes the connection's task when the connection is to be closed.
+    /// Notifies the connection's task that it has to close the connection.
     close: Notify,
-    /// Bytes received since the last answer.
+    /// Number of bytes received since the last answer.
     received: Cell<u64>,
-    head_end: HeadEnd,
+    /// Finds where the head of the current request ends.
+    head_end: HeadEndFinder,
 }
 
 impl StreamObserver for ConnectionSlot {
@@ -60,7 +66,7 @@
         }
         if self.phase.get() == Phase::Idle {
             self.phase.set(Phase::Receiving);
-            // The first request's time has run since the connection's start.
+            // The timeout of the first request runs from the start of the connection.
             if self.has_answered.get() {
                 self.phase_started.set(Instant::now());
             }
@@ -82,36 +88,38 @@
             has_unread_request: Cell::new(false),
             close: Notify::new(),
             received: Cell::new(0),
-            head_end: HeadEnd::default(),
+            head_end: HeadEndFinder::default(),
         }
     }
 
-    /// A request has been received completely.
+    /// Records that a request has been received completely.
     pub fn mark_request_received(&self) {
         self.phase.set(Phase::Processing);
     }
 
-    /// An error was answered, and more of the request or behind it may come.
+    /// Records that an error was answered while more bytes, of the request or after it, may still arrive.
     pub fn mark_unread_request(&self) {
         self.has_unread_request.set(true);
     }
 
-    /// Whether an error was answered before the request had been read to its end.
+    /// Whether an error was answered before the request had been read completely.
     pub fn has_unread_request(&self) -> bool {
         self.has_unread_request.get()
     }
 
-    /// Whether exactly one request has been received: a head, and a body of this length. More is pipelined,
-    /// or hidden in what another reader would take for the body; clients send one request at a time.
+    /// Whether no more has been received than one request: a head, and a body of `body_length` bytes. Clients
+    /// send one request at a time, so further bytes are a pipelined request, or one that is smuggled in what
+    /// another HTTP implementation would read as the body.
     pub fn holds_one_request(&self, body_length: u64) -> bool {
         self.head_end.offset().is_some_and(|head_length| self.received.get() <= head_length + body_length)
     }
 
-    /// Part of a request has been received, or all of it, and it is not answered yet.
+    /// Whether a request has been received, at least in part, and is not answered yet.
     pub fn has_pending_request(&self) -> bool {
         self.phase.get() != Phase::Idle
     }
 
+    /// Records that the request has been answered, and prepares for the next one.
     pub(super) fn mark_answered(&self) {
         self.phase.set(Phase::Idle);
         self.has_answered.set(true);
@@ -120,7 +128,8 @@
         self.head_end.reset();
     }
 
-    /// Closes the connection to free its slot; it is not chosen again while it closes.
+    /// Closes the connection to free its slot. The phase is set to [`Phase::Processing`], so that the
+    /// connection is not chosen for eviction again while it closes.
     pub(super) fn evict(&self) {
         self.phase.set(Phase::Processing);
         self.close(CloseReason::Evicted);
@@ -132,12 +141,12 @@
         self.close.notify_one();
     }
 
-    /// Why the connection was asked to close, if it was.
+    /// Why the limiter has asked for the connection to be closed, if it has.
     pub(super) fn close_reason(&self) -> Option<CloseReason> {
         self.close_reason.get()
     }
 
-    /// Waits until the connection is to be closed.
+    /// Waits until the limiter asks for the connection to be closed.
     pub(super) async fn wait_until_closed(&self) {
         self.close.notified().await;
     }
@@ -146,7 +155,7 @@
         self.close_reason.get() == Some(CloseReason::Evicted)
     }
 
-    /// No request has been answered on it yet: the connection was made to send one.
+    /// Whether no request on this connection has been answered yet. Its client opened it to send one.
     pub(super) fn awaits_first_answer(&self) -> bool {
         !self.has_answered.get()
     }
@@ -155,12 +164,13 @@
         self.phase.get()
     }
 
-    /// Since when the connection is idle, or its request is being received.
+    /// When the connection became idle or its request began to arrive; the start of the connection for its
+    /// first request.
     pub(super) fn phase_started(&self) -> Instant {
         self.phase_started.get()
     }
 
-    /// The reason to close the connection now, if its time is up.
+    /// The timeout that has expired, if any, as the reason to close the connection.
     pub(super) fn timed_out(&self) -> Option<CloseReason> {
         let (timeout, reason) = match self.phase.get() {
             Phase::Processing => return None,
@@ -171,54 +181,53 @@
     }
 }
 
-/// Finds the end of a request's head, however its bytes are cut up on the way.
+/// Finds the end of a request's head, in whatever pieces its bytes arrive.
 #[derive(Default)]
-struct HeadEnd {
-    progress: Cell<BlankLine>,
+struct HeadEndFinder {
+    progress: Cell<BlankLineProgress>,
+    /// Length of the head in bytes, with its blank line, once it is known.
     offset: Cell<Option<u64>>,
 }
 
-/// How much of the blank line that ends a head has been received.
+/// How much of the `CR LF CR LF` that ends a head has been received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-enum BlankLine {
+enum BlankLineProgress {
     #[default]
     None,
-    /// CR
-    LineReturn,
-    /// CR LF
-    LineEnd,
-    /// CR LF CR
-    BlankReturn,
+    Cr,
+    CrLf,
+    CrLfCr,
 }
 
-impl HeadEnd {
-    /// Where the head ends, counted from the request's first byte, once that is known.
+impl HeadEndFinder {
+    /// The offset at which the head ends, in bytes from the start of the request, once it is known.
     fn offset(&self) -> Option<u64> {
         self.offset.get()
     }
 
-    /// Looks at the request's bytes from `start` on, unless the end is known already.
+    /// Scans the bytes of the request that begin at offset `start`, unless the end of the head is known
+    /// already.
     fn scan(&self, start: u64, bytes: &[u8]) {
         if self.offset.get().is_some() {
             return;
         }
         for (index, byte) in bytes.iter().enumerate() {
             let progress = match (self.progress.get(), byte) {
-                (BlankLine::BlankReturn, b'\n') => {
+                (BlankLineProgress::CrLfCr, b'\n') => {
                     self.offset.set(Some(start + index as u64 + 1));
                     return;
                 }
-                (BlankLine::LineReturn, b'\n') => BlankLine::LineEnd,
-                (BlankLine::LineEnd, b'\r') => BlankLine::BlankReturn,
-                (_, b'\r') => BlankLine::LineReturn,
-                _ => BlankLine::None,
+                (BlankLineProgress::Cr, b'\n') => BlankLineProgress::CrLf,
+                (BlankLineProgress::CrLf, b'\r') => BlankLineProgress::CrLfCr,
+                (_, b'\r') => BlankLineProgress::Cr,
+                _ => BlankLineProgress::None,
             };
             self.progress.set(progress);
         }
     }
 
     fn reset(&self) {
-        self.progress.set(BlankLine::None);
+        self.progress.set(BlankLineProgress::None);
         self.offset.set(None);
     }
 }
--- a/crates/message-sender/src/connection_limiter/tests.rs
+++ b/crates/message-sender/src/connection_limiter/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of the connection limiter without sockets.
+//! Tests of the connection limiter, without sockets.
 
 use std::rc::Rc;
 
 use super::{ConnectionLimiter, ConnectionSlot};
 use crate::instrumented_stream::StreamObserver;
 
-/// Guards against a request that hides behind another, however its bytes are cut up on the way.
+/// Guards against missing a request that follows another one, because the head of the first arrives in pieces
+/// and its end is not found.
 #[test]
 fn bytes_beyond_one_request_are_noticed() {
     let text = b"POST / HTTP/1.1\r\nA: b\r\n\r\nbody";
@@ -20,7 +21,7 @@
     }
 }
 
-/// Guards against a request that is cut off for one that is only idle.
+/// Guards against evicting a connection with a request on it while another connection is idle.
 #[test]
 fn the_connection_longest_without_a_request_is_evicted_first() {
     let limiter = ConnectionLimiter::new(3);
@@ -34,7 +35,7 @@
     assert!(limiter.eviction_candidate().is_none());
 }
 
-/// Guards against two processes that together hold more connections than one may.
+/// Guards against a predecessor and its successor that together hold more connections than one process may.
 #[test]
 fn slots_reserved_for_a_predecessor_stay_free() {
     let limiter = ConnectionLimiter::new(3);
@@ -44,7 +45,7 @@
     assert!(limiter.is_full());
     limiter.reserve_for_predecessor(9);
     drop(first);
-    assert!(!limiter.is_full(), "one at least gets in");
+    assert!(!limiter.is_full(), "at least one connection is accepted");
     limiter.reserve_for_predecessor(0);
     let (_first, _second) = (limiter.occupy(), limiter.occupy());
     assert!(!limiter.is_full());
