--- a/crates/message-sender/src/operator_api/command.rs
+++ b/crates/message-sender/src/operator_api/command.rs
@@ -1,33 +1,33 @@
-//! Operators' commands to the event loop.
+//! Commands that operators send to the event loop.
 
 use tokio::sync::oneshot;
 
-/// What an operator wants done with an endpoint, which is given by its name.
+/// A command for the endpoint with the given name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Send it no new attempts from now on, whatever the endpoint list says.
+    /// Send no new attempts to the endpoint from now on, whatever the endpoint list says.
     Drain(String),
-    /// Put it back in service.
+    /// Put the endpoint back in service.
     Restore(String),
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandResult {
-    /// It is in force and persisted.
+    /// The command is in effect and persisted.
     Done,
     /// No endpoint has that name.
     UnknownEndpoint,
-    /// The journal could not store it; nothing has changed.
+    /// The journal could not store the command, and nothing has changed.
     NotPersisted,
 }
 
-/// A command, and where its result goes. A caller that gives up closes `reply`; the command is not carried
-/// out then unless that has begun.
+/// A command and the channel for its result. If the caller gives up, `reply` is closed, and the command is
+/// not carried out unless it has already begun.
 #[derive(Debug)]
 pub struct OperatorRequest {
-    /// What is to be done.
+    /// The command to carry out.
     pub command: OperatorCommand,
-    /// Receives the result.
+    /// The channel for the result.
     pub reply: oneshot::Sender<CommandResult>,
 }
--- a/crates/message-sender/src/operator_api/mod.rs
+++ b/crates/message-sender/src/operator_api/mod.rs
@@ -1,8 +1,8 @@
-//! The HTTP server that operators call: status, metrics, maintenance of endpoints, standby. One call a
-//! connection.
+//! The HTTP server for operators: status, metrics, maintenance of endpoints, and standby. Each connection
+//! serves one request.
 //!
-//! It has connections and a queue to the event loop of its own, so that no call waits behind traffic, and
-//! callers that send nothing hold up no other.
+//! The server has its own connections and its own queue to the event loop, so that no request of an operator
+//! waits behind client traffic, and callers that send nothing do not block others.
 
 mod command;
 mod error;
--- a/crates/message-sender/src/operator_api/route.rs
+++ b/crates/message-sender/src/operator_api/route.rs
@@ -1,28 +1,28 @@
-//! The paths that operators call.
+//! The paths of the operator API.
 
 use hyper::Method;
 
 use super::error::OperatorError;
 
-/// What a call asks for.
+/// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// Whether the process serves.
+    /// Report whether the process serves.
     Status,
-    /// The metrics.
+    /// Return the metrics.
     Metrics,
     /// Drain an endpoint.
     DrainEndpoint,
     /// Restore an endpoint.
     RestoreEndpoint,
-    /// Stop serving clients until further notice.
+    /// Stop serving clients until the process is activated again.
     Standby,
     /// Serve clients again.
     Activate,
 }
 
 impl Route {
-    /// The route of a path, if the method is the one that the path allows.
+    /// The route for a path, if the path exists and allows the method.
     pub fn find(method: &Method, path: &str) -> Result<Self, OperatorError> {
         let route = Self::from_path(path).ok_or(OperatorError::UnknownPath)?;
         if *method != route.method() {
--- a/crates/message-sender/src/operator_api/server.rs
+++ b/crates/message-sender/src/operator_api/server.rs
@@ -1,4 +1,4 @@
-//! Serves operators' connections and carries out their calls.
+//! Serves operators' connections and handles their requests.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -24,35 +24,35 @@
 use crate::metrics::Metrics;
 use crate::serving_state::{ServingState, ServingStateControl};
 
-/// Callers at once; one that sends nothing makes way for the next.
+/// Maximum number of open connections. Beyond it, a connection that has sent nothing is closed for a new one.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Requests that wait for the event loop: as many as there are callers.
+/// Maximum number of requests that wait for the event loop: one for each connection.
 pub const REQUEST_QUEUE_CAPACITY: usize = MAX_CONNECTIONS;
-/// The longest head of a call.
+/// Maximum size of a request's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The longest name of an endpoint.
+/// Maximum length of an endpoint's name, and so of a request's body.
 const MAX_NAME_BYTES: usize = 256;
-/// A caller waits 1 s: a later answer would not be received.
+/// How long a command may take. Callers wait 1 s, so they would not receive a later answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 
 const SERVING: &str = "serving\n";
 const STANDBY: &str = "standby\n";
 const DONE: &str = "done\n";
 
-/// What all callers' connections share.
+/// The operator API, shared by the handlers of all connections.
 pub struct OperatorApi {
-    /// Operators set it to standby and back.
+    /// The serving state, which operators set to standby and back.
     pub serving_state: Rc<ServingStateControl>,
-    /// This process is the sender: messages can be accepted.
+    /// Whether this process is the sender and can accept messages.
     pub ready: Rc<Cell<bool>>,
     /// The metrics that operators fetch.
     pub metrics: Rc<Metrics>,
-    /// Where commands go to the event loop.
+    /// The channel that passes commands to the event loop.
     pub requests: mpsc::Sender<OperatorRequest>,
 }
 
 impl OperatorApi {
-    /// Accepts calls until it is dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, limiter: Rc<ConnectionLimiter>) {
         let handle = |stream, slot| self.clone().serve_connection(stream, limiter.clone(), slot);
         limiter.clone().serve(listener, handle).await;
@@ -76,7 +76,7 @@
             }
         });
         let mut server = http1::Builder::new();
-        // The slot has the time-out, one for head and body together.
+        // The slot has a single timeout for head and body together.
         server.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES).keep_alive(false);
         if let Err(error) = server.serve_connection(io, service).await {
             tracing::debug!(%error, "operator connection failed");
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Clients' connections and health checks follow at once.
+    /// Sets the serving state, which takes effect on client connections and health checks at once.
     fn change_serving_state(&self, to: ServingState, answer: &str) -> Result<String, OperatorError> {
         if !self.ready.get() {
             return Err(OperatorError::Unavailable);
@@ -126,8 +126,8 @@
         Ok(answer.to_owned())
     }
 
-    /// Has the event loop carry out a command. When the time is up the reply's receiver is dropped: the event
-    /// loop then leaves a command alone that it has not begun.
+    /// Has the event loop carry out a command, and waits for the result. On a timeout the receiver of the
+    /// reply is dropped, and the event loop then skips the command unless it has already begun it.
     async fn execute(&self, command: OperatorCommand) -> Result<String, OperatorError> {
         if !self.ready.get() {
             return Err(OperatorError::Unavailable);
@@ -140,6 +140,7 @@
         }
     }
 
+    /// Passes a command to the event loop and waits for the result, without a timeout.
     async fn request(&self, command: OperatorCommand) -> Result<CommandResult, OperatorError> {
         let (reply, result) = oneshot::channel();
         let request = OperatorRequest { command, reply };
@@ -157,7 +158,7 @@
     response
 }
 
-/// The endpoint that a body names.
+/// The name of an endpoint that a request's body contains.
 pub(super) fn endpoint_name(body: &Bytes) -> Result<String, OperatorError> {
     let name = std::str::from_utf8(body).map_err(|_| OperatorError::EndpointName)?.trim();
     if name.is_empty() || name.contains(char::is_control) {
--- a/crates/message-sender/src/operator_api/tests.rs
+++ b/crates/message-sender/src/operator_api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoding of operators' calls, without sockets.
+//! Tests of the decoding of operators' requests, without sockets.
 
 use bytes::Bytes;
 use hyper::Method;
