--- a/crates/message-sender/src/config/deployment.rs
+++ b/crates/message-sender/src/config/deployment.rs
@@ -1,4 +1,4 @@
-//! A sender's configuration, from its file and its environment.
+//! Reads a sender's configuration from its file and environment variables.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,41 +11,41 @@
 use super::limits::Limits;
 use crate::endpoint_list::EndpointList;
 
-/// Names the configuration's file.
+/// Environment variable with the path of the configuration file.
 const FILE_VARIABLE: &str = "ROUTER_CONFIG";
-/// Names the folder for what outlives the process.
+/// Environment variable with the path of the state folder, whose content outlives the process.
 const STATE_VARIABLE: &str = "ROUTER_STATE";
-/// Holds the address for operators.
+/// Environment variable with the listening address for operators.
 const MANAGEMENT_VARIABLE: &str = "ROUTER_MANAGEMENT";
 
 /// The radix of a seed that is given as text.
 const SEED_RADIX: u32 = 16;
 
-/// A sender's configuration, with the settings in the controller's terms.
+/// A sender's configuration, with the settings converted for the controller.
 pub struct Config {
-    /// The sender's name, for the log.
+    /// The sender's name, which is written to the log.
     pub name: String,
-    /// Where clients submit messages.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Listening address for operators, if there is one.
     pub management: Option<SocketAddr>,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The folder for what outlives the process.
+    /// Path of the state folder, whose content outlives the process.
     pub state: PathBuf,
     /// Seed of the controller's random numbers.
     pub seed: u64,
-    /// What the machine allows.
+    /// The resources that the process may use.
     pub limits: Limits,
-    /// An endpoint list to start with.
+    /// The endpoint list to start with, if the file contains one.
     pub known: Option<EndpointList>,
     /// The controller's settings.
     pub settings: Settings,
-    /// The names that the settings list.
+    /// The names that the settings list: classes, kinds of endpoints, zones and tenants.
     pub names: Names,
 }
 
-/// The file.
+/// The content of the configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
@@ -64,7 +64,7 @@
     discovery: SocketAddr,
 }
 
-/// A seed is hexadecimal text or a plain number.
+/// A seed, given as hexadecimal text or as a number.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Seed {
@@ -82,9 +82,9 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names. `ROUTER_STATE` alone names the state folder, and
-    /// `ROUTER_MANAGEMENT` takes precedence over the file's address: during an upgrade, the new version has
-    /// another one.
+    /// Reads the file that `ROUTER_CONFIG` names. The state folder is set by `ROUTER_STATE` only.
+    /// `ROUTER_MANAGEMENT` takes precedence over the address for operators in the file, because during an
+    /// upgrade the new version listens on a different address.
     pub fn from_environment() -> Result<Self, ConfigError> {
         let state = std::env::var_os(STATE_VARIABLE).ok_or(ConfigError::NotSet(STATE_VARIABLE))?;
         let mut config = Self::decode(&read_file()?, PathBuf::from(state))?;
@@ -94,7 +94,8 @@
         Ok(config)
     }
 
-    /// Reads the file again for what may change while the process runs: where discovery is.
+    /// Reads the address of discovery from the file again. It is the only setting that may change while the
+    /// process runs.
     pub fn discovery_now() -> Result<SocketAddr, ConfigError> {
         let config: ReloadableConfig =
             serde_json::from_slice(&read_file()?).map_err(ConfigError::Malformed)?;
@@ -104,8 +105,8 @@
     pub(super) fn decode(text: &[u8], state: PathBuf) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_slice(text).map_err(ConfigError::Malformed)?;
         let settings = file.settings.settings().map_err(ConfigError::Settings)?;
-        // On sockets, the platform learns by a notice that a message has ended, later than the controller
-        // decides it.
+        // This process tells the platform by a notice that a message has ended, so the platform learns of it
+        // only after the controller has decided it.
         let settings = Settings { notices_are_acknowledged: true, ..settings };
         Ok(Self {
             name: file.name,
@@ -127,7 +128,7 @@
     std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path, error))
 }
 
-/// The address for operators; an empty variable counts as none.
+/// The listening address for operators. An empty variable counts as not set.
 fn management_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(address) = std::env::var(MANAGEMENT_VARIABLE) else { return Ok(None) };
     if address.is_empty() {
--- a/crates/message-sender/src/config/limits.rs
+++ b/crates/message-sender/src/config/limits.rs
@@ -1,45 +1,48 @@
-//! What the machine allows the process, and how that is divided.
+//! The resources that the process may use, and how file descriptors are divided among their uses.
 
 use serde::Deserialize;
 
 use crate::operator_api;
 
-/// What the machine allows this process.
+/// The resources that this process may use.
 #[derive(Deserialize, Clone, Copy)]
 pub struct Limits {
-    /// Memory, in megabytes.
+    /// Memory, in megabytes (10^6 bytes).
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
-    /// Space for the journal, in megabytes.
+    /// Disk space for the journal, in megabytes (10^6 bytes).
     pub disk_mb: f64,
 }
 
-/// How the descriptors are divided, so that all uses together stay under the limit.
+/// How many file descriptors each use may take, so that all uses together stay within the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorShares {
-    /// Connections from clients.
+    /// Maximum number of connections from clients.
     pub clients: usize,
-    /// Idle connections to endpoints.
+    /// Maximum number of idle connections to endpoints.
     pub idle: usize,
 }
 
-/// Descriptors of the runtime, the journal while it is compacted, discovery, the listeners, a handover and
-/// the log, and those of operators' calls.
+/// File descriptors that a process needs for itself: 28 for the runtime, the journal while it is compacted,
+/// discovery, the listeners, a handover and the log, and one for each connection of an operator.
 const OWN_DESCRIPTORS: usize = 28 + operator_api::MAX_CONNECTIONS;
-/// During an upgrade so many processes have [`OWN_DESCRIPTORS`]; they share what is left.
-const PROCESSES: usize = 2;
-/// Memory of a client's connection: its buffers. Few have a body in hand at the same time.
+/// Number of processes that run during an upgrade. Each needs [`OWN_DESCRIPTORS`]; they share the remaining
+/// descriptors.
+const PROCESSES_DURING_UPGRADE: usize = 2;
+/// Memory for the buffers of a client connection. Bodies are not included, because few connections hold one
+/// at the same time.
 const CLIENT_CONNECTION_BYTES: f64 = 24.0 * 1024.0;
-/// Fraction of the memory that clients' connections may take.
+/// Fraction of the memory that client connections may take.
 const CLIENT_MEMORY_FRACTION: f64 = 0.25;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
 impl Limits {
-    /// Divides the descriptors that calls in flight and the process itself leave: two thirds for clients, as
-    /// far as the memory allows, and a third for idle connections.
+    /// Divides the file descriptors that remain after those for calls in flight and for the processes
+    /// themselves: two thirds for client connections, as far as the memory allows, and one third for idle
+    /// connections to endpoints.
     pub fn shares(&self, max_in_flight: usize) -> DescriptorShares {
-        let reserved = PROCESSES * OWN_DESCRIPTORS + max_in_flight;
+        let reserved = PROCESSES_DURING_UPGRADE * OWN_DESCRIPTORS + max_in_flight;
         let free = self.sockets.saturating_sub(reserved).max(2);
         let client_memory = self.memory_mb * BYTES_PER_MEGABYTE * CLIENT_MEMORY_FRACTION;
         let by_memory = (client_memory / CLIENT_CONNECTION_BYTES) as usize;
--- a/crates/message-sender/src/config/mod.rs
+++ b/crates/message-sender/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! What the deployment says to a sender: its file and its environment, decoded into the controller's terms.
+//! The configuration of a sender, read from its file and environment variables and converted to the settings
+//! of the controller.
 
 mod deployment;
 mod error;
--- a/crates/message-sender/src/config/tests.rs
+++ b/crates/message-sender/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decoding of the file, and of the division of descriptors.
+//! Tests of the decoding of the configuration file, and of the division of file descriptors.
 
 use std::path::PathBuf;
 
@@ -25,32 +25,35 @@
     Config::decode(file.to_string().as_bytes(), PathBuf::from("state"))
 }
 
+/// The error for a configuration file in which the field at a JSON pointer is replaced by `value`.
 fn error_text(field: &str, value: Value) -> String {
     let mut file = file();
-    *file.pointer_mut(field).expect("a field") = value;
-    let Err(error) = decode(&file) else { panic!("{field} is accepted") };
+    *file.pointer_mut(field).expect("existing field") = value;
+    let Err(error) = decode(&file) else { panic!("{field} was accepted") };
     error.to_string()
 }
 
 #[test]
 fn seeds_are_hexadecimal_text_or_numbers() {
     let mut file = file();
-    assert_eq!(decode(&file).expect("a configuration").seed, 0x8c1f);
+    assert_eq!(decode(&file).expect("valid configuration").seed, 0x8c1f);
     file["seed"] = json!(17);
-    assert_eq!(decode(&file).expect("a configuration").seed, 17);
+    assert_eq!(decode(&file).expect("valid configuration").seed, 17);
 }
 
+/// Guards against sending the next message of an order key before the platform has been told how the previous
+/// one ended.
 #[test]
 fn a_message_ends_once_its_notice_is_acknowledged() {
-    assert!(decode(&file()).expect("a configuration").settings.notices_are_acknowledged);
+    assert!(decode(&file()).expect("valid configuration").settings.notices_are_acknowledged);
 }
 
 #[test]
 fn errors_name_the_field() {
     assert!(error_text("/seed", json!("xyz")).contains("seed is not a hexadecimal number"));
     assert!(error_text("/settings/categories/0/effect", json!("maybe")).contains("unknown effect \"maybe\""));
-    assert!(error_text("/listen", json!("nowhere")).contains("the configuration is malformed"));
-    assert!(error_text("/settings/rules", json!(null)).contains("the configuration is malformed"));
+    assert!(error_text("/listen", json!("nowhere")).contains("the configuration file is malformed"));
+    assert!(error_text("/settings/rules", json!(null)).contains("the configuration file is malformed"));
     assert!(error_text("/limits", json!({})).contains("memory_mb"));
 }
 
@@ -59,6 +62,6 @@
     let shares = |sockets| Limits { memory_mb: 192.0, sockets, disk_mb: 1.0 }.shares(12);
     assert_eq!((shares(256).clients, shares(256).idle), (104, 52));
     assert_eq!((shares(0).clients, shares(0).idle), (1, 0));
-    let poor = Limits { memory_mb: 1.0, sockets: 1_000, disk_mb: 1.0 }.shares(12);
-    assert_eq!(poor.clients, 10, "bounded by the memory");
+    let low_memory = Limits { memory_mb: 1.0, sockets: 1_000, disk_mb: 1.0 }.shares(12);
+    assert_eq!(low_memory.clients, 10, "limited by the memory");
 }
