--- a/crates/message-sender/src/connection_limiter/limiter.rs
+++ b/crates/message-sender/src/connection_limiter/limiter.rs
@@ -13,8 +13,8 @@
 
 /// Interval between checks for timed-out connections.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between the checks of [`ConnectionLimiter::wait_until_quiet`] for pending requests.
-const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between the checks of [`ConnectionLimiter::wait_until_no_pending_request`] for pending requests.
+const PENDING_REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Limits how many connections are open at the same time.
 pub struct ConnectionLimiter {
@@ -77,9 +77,9 @@
     }
 
     /// Waits until no request is pending.
-    pub async fn wait_until_quiet(&self) {
+    pub async fn wait_until_no_pending_request(&self) {
         while self.has_pending_request() {
-            sleep(QUIET_CHECK_INTERVAL).await;
+            sleep(PENDING_REQUEST_CHECK_INTERVAL).await;
         }
     }
 
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -240,7 +240,7 @@
     async fn finish(self) {
         // Clients whose submission nobody will decide on get an error for a reply.
         drop(self.events);
-        if timeout(FINAL_REPLY_TIMEOUT, self.limiter.wait_until_quiet()).await.is_err() {
+        if timeout(FINAL_REPLY_TIMEOUT, self.limiter.wait_until_no_pending_request()).await.is_err() {
             self.invariants.report_connection(Invariant::RequestIsAnswered);
             tracing::warn!(
                 connections = self.limiter.open_connections(),
