--- a/crates/message-sender/src/config/deployment.rs
+++ b/crates/message-sender/src/config/deployment.rs
@@ -96,7 +96,7 @@
 
     /// Reads the address of discovery from the file again. It is the only setting that may change while the
     /// process runs.
-    pub fn discovery_now() -> Result<SocketAddr, ConfigError> {
+    pub fn read_discovery_address() -> Result<SocketAddr, ConfigError> {
         let config: ReloadableConfig =
             serde_json::from_slice(&read_file()?).map_err(ConfigError::Malformed)?;
         Ok(config.discovery)
--- a/crates/message-sender/src/signals.rs
+++ b/crates/message-sender/src/signals.rs
@@ -97,7 +97,7 @@
 async fn follow_configuration(hangup: &SignalFlag, discovery: &watch::Sender<SocketAddr>) {
     let mut signalled_at = Instant::now();
     loop {
-        match Config::discovery_now() {
+        match Config::read_discovery_address() {
             Ok(address) => {
                 tracing::info!(discovery = %address, "configuration reloaded");
                 discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
