--- a/crates/deployment-config/src/config.rs
+++ b/crates/deployment-config/src/config.rs
@@ -1,6 +1,8 @@
-//! The deployment's settings as JSON, and their conversion to the controller's [`Settings`].
+//! Decoding of a sender's settings from JSON, and their conversion to the controller's [`Settings`].
 //!
-//! Fields are named as in [`Settings`]; the names in the file stand in the `serde` attributes.
+//! A sender's configuration file has this object as its `settings`, and the simulator's protocol as the
+//! `config` of an instance. Fields are named as in [`Settings`], where they are described; `serde` attributes
+//! give their keys in JSON. Durations are in milliseconds.
 
 use delivery_control::{
     DestinationKind, DiscoveryMode, Idempotency, IdempotencyScope, Limits, MessageClass, Prices, Rules,
@@ -11,7 +13,7 @@
 use crate::names::{index_or_end, Names};
 use crate::time::{micros_from_millis, micros_or_zero};
 
-/// The settings of one sender, as the deployment gives them.
+/// The settings of one sender, as written in the configuration.
 #[derive(Deserialize)]
 pub struct Config {
     #[serde(rename = "balancers")]
@@ -42,6 +44,7 @@
     prices: PricesConfig,
 }
 
+/// A class of messages; converted to [`MessageClass`].
 #[derive(Deserialize)]
 struct ClassConfig {
     name: String,
@@ -65,7 +68,8 @@
     stream: Option<bool>,
 }
 
-/// What the family of deployments has in common; lists are in the order of the kinds or zones.
+/// Settings that all deployments of a family share. The elements of a list belong to the kinds or zones with
+/// the same indices; missing elements have defaults.
 #[derive(Deserialize)]
 struct FamilyConfig {
     #[serde(rename = "ownLimits")]
@@ -81,6 +85,7 @@
     zone_fees: Option<Vec<f64>>,
 }
 
+/// A tenant; converted to [`Tenant`].
 #[derive(Deserialize)]
 struct TenantConfig {
     name: String,
@@ -88,6 +93,7 @@
     quota_per_second: f64,
 }
 
+/// Limits and permissions; converted to [`Limits`]. Permissions that are not given are not granted.
 #[derive(Deserialize)]
 struct LimitsConfig {
     #[serde(rename = "mostHeld")]
@@ -112,6 +118,7 @@
     connection_idle_ms: Option<f64>,
 }
 
+/// Parameters of the protocol's rules; converted to [`Rules`].
 #[derive(Deserialize)]
 struct RulesConfig {
     #[serde(rename = "answerSlackMs")]
@@ -132,6 +139,7 @@
     quarantine_time_ms: Option<f64>,
 }
 
+/// Costs of operations; converted to [`Prices`]. Prices that are not given are 0.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct PricesConfig {
@@ -142,7 +150,7 @@
 }
 
 impl Config {
-    /// The names that the settings list.
+    /// The names of the classes, kinds, zones and tenants that the settings list.
     pub fn names(&self) -> Names {
         Names {
             classes: self.classes.iter().map(|class| class.name.clone()).collect(),
@@ -152,11 +160,11 @@
         }
     }
 
-    /// The settings in the controller's terms. They say that a message ends as soon as the controller decides
-    /// so: in the simulator, notices need no acknowledgement.
+    /// Converts to the controller's settings. [`Settings::notices_are_acknowledged`] is false, so a message
+    /// ends as soon as the controller decides so: in the simulator, notices need no acknowledgement.
     ///
     /// # Errors
-    /// Names a value that is none of the known ones.
+    /// Returns an error if the `effect` of a class is not a known value.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(ClassConfig::message_class);
         Ok(Settings {
@@ -214,7 +222,7 @@
         }
     }
 
-    /// Other weights, if any, don't mean calls per second.
+    /// Whether the weights in endpoint lists are rates in calls per second. Other weights, if any, are not.
     fn rates_are_listed(&self) -> bool {
         matches!(self.listed_weights.as_deref(), Some("nominal" | "rough"))
     }
@@ -245,7 +253,7 @@
         })
     }
 
-    /// The words of [`Idempotency`] itself are accepted too.
+    /// Accepts the three values below, and those that [`Idempotency`] itself parses.
     fn idempotency(&self) -> Result<Idempotency, SettingsError> {
         match self.effect.as_str() {
             "pure" => Ok(Idempotency::Always),
--- a/crates/deployment-config/src/lib.rs
+++ b/crates/deployment-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decodes a deployment's settings into those of the delivery controller.
 //!
-//! The names that deployments use are mapped to the terms of `delivery-control` here: the types of this crate
-//! carry those terms, and `serde` attributes carry the deployments' names. The sender and the simulator's
-//! adapter share it.
+//! This crate maps the names that deployments use to the terms of `delivery-control`: its types use those
+//! terms, and its `serde` attributes and constants give the names that deployments use. Both the message
+//! sender and the simulator adapter depend on it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/deployment-config/src/load_report.rs
+++ b/crates/deployment-config/src/load_report.rs
@@ -1,4 +1,5 @@
-//! The names that endpoints give the values of a load report, in headers as in the simulator's telemetry.
+//! Decoding of load reports. Their values have the same names in response headers and in the simulator's
+//! telemetry.
 
 use delivery_control::LoadReport;
 
@@ -13,7 +14,8 @@
 const RATE: &str = "tps";
 const ERROR_RATE: &str = "err_ps";
 
-/// Decodes a load report from a function that looks up a value by its name on the wire.
+/// Decodes a load report. `value` looks up a reported value by its name on the wire, and returns `None` for a
+/// value that was not reported.
 pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     LoadReport {
         limit_remaining: value(LIMIT_REMAINING),
--- a/crates/deployment-config/tests/settings.rs
+++ b/crates/deployment-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Each name that a deployment uses, and the setting that it stands for.
+//! Tests of the mapping from the names that deployments use to the controller's settings and load reports.
 
 use std::collections::BTreeMap;
 
@@ -9,6 +9,7 @@
 use deployment_config::{load_report, Config};
 use serde_json::{json, Value};
 
+/// A configuration with every key. No optional key has its default value.
 fn complete() -> Value {
     json!({
         "balancers": 3, "ordinal": 2,
@@ -37,6 +38,7 @@
     })
 }
 
+/// A configuration with only the required keys, kinds and zones.
 fn minimal() -> Value {
     json!({
         "balancers": 1, "ordinal": 0,
@@ -54,6 +56,8 @@
     config(value).settings().expect("settings")
 }
 
+/// Guards against a key that is ignored, converted in the wrong unit or assigned to the wrong setting: keys
+/// and fields have different names, so the compiler finds no such mistake.
 #[test]
 fn every_name_stands_for_its_setting() {
     let settings = settings(complete());
@@ -101,6 +105,7 @@
     assert_eq!(settings.prices, prices);
 }
 
+/// Guards against a wrong default for an omitted key, for example a factor of 0 where 1 means no change.
 #[test]
 fn what_is_left_out_has_a_default() {
     let settings = settings(minimal());
@@ -117,8 +122,10 @@
     assert_eq!(settings.prices, Prices::default());
 }
 
+/// Guards against an `effect` that gives the wrong idempotency, so that messages which must not be repeated
+/// are sent again. An unknown value has to be refused and named in the error.
 #[test]
-fn effects_are_known_by_two_words_each() {
+fn both_names_of_each_effect_are_accepted() {
     let cases = [
         ("pure", Idempotency::Always),
         ("safe", Idempotency::Always),
@@ -138,8 +145,10 @@
     assert_eq!(error.to_string(), "unknown effect \"maybe\"");
 }
 
+/// Guards against a name that is mapped to the wrong index, and against unlisted kinds and zones that get the
+/// index of a listed one.
 #[test]
-fn names_are_known_by_their_indices() {
+fn names_are_mapped_to_their_indices() {
     let names = config(complete()).names();
     assert_eq!(names.classes(), ["order"]);
     assert_eq!((names.class("order"), names.class("parcel")), (Some(0), None));
@@ -148,6 +157,7 @@
     assert_eq!((names.kind(Some(&small)), names.kind(None), names.zone(Some(&small))), (1, 2, 2));
 }
 
+/// Guards against a reported value that is ignored, assigned to the wrong field, or left in milliseconds.
 #[test]
 fn a_load_report_is_read_by_the_names_on_the_wire() {
     let text = r#"{"x0":1,"x1":2,"concurrent":3,"depth":4,"load_share":5,"mean_ms":6,"tps":7,"err_ps":8}"#;
