--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! Endpoint lists as the simulator sends them.
+//! Endpoint lists as the simulator sends them, and their conversion to events.
 
 use delivery_control::{EndpointEntry, Event, ListingState, UpdateKind};
 use deployment_config::time::micros_from_millis;
 use deployment_config::Names;
 use serde::Deserialize;
 
-/// One endpoint of a list.
+/// One endpoint of an endpoint list.
 #[derive(Deserialize)]
 pub struct ListedEndpoint {
     destination: u64,
@@ -21,6 +21,7 @@
     endpoint: u64,
 }
 
+/// State of an endpoint in an endpoint list.
 #[derive(Deserialize, Clone, Copy)]
 enum ListedState {
     #[serde(rename = "live")]
@@ -31,10 +32,10 @@
     Removed,
 }
 
-/// How a list is to be read.
+/// Which endpoints an endpoint list contains.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed endpoints only.
+    /// Only the endpoints that changed.
     #[serde(rename = "diff")]
     Delta,
     /// The complete list.
@@ -43,7 +44,7 @@
     /// The complete list as last stored on disk.
     #[serde(rename = "disk")]
     Cached,
-    /// The list could not be fetched.
+    /// None: the list could not be fetched.
     #[serde(rename = "error")]
     Failed,
 }
@@ -83,7 +84,7 @@
     }
 }
 
-/// The event that an endpoint list makes; a list without a version has version 0.
+/// Converts an endpoint list to the controller's event; a list without a version gets version 0.
 pub fn update_event(
     kind: ListKind,
     version: Option<u64>,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the input.
+//! Errors on which the adapter stops.
 
 use std::io;
 
@@ -6,47 +6,47 @@
 
 use crate::incoming::EventError;
 
-/// What is wrong with the input, and where.
+/// An error in handling the input, and the line at which it occurred.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct InputError {
-    /// The line, counted from 1.
+    /// Number of the line, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error.
     pub reason: LineError,
 }
 
-/// What is wrong with a line.
+/// An error in handling a line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It could not be read, or its reply could not be written.
+    /// The line could not be read, or the reply could not be written.
     #[error(transparent)]
     Stream(#[from] io::Error),
-    /// It is not a line of the protocol.
+    /// The line is not JSON, or not a line of the protocol.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The previous batch has not ended.
-    #[error("a batch begins inside a batch")]
+    /// A batch starts before the previous batch has ended.
+    #[error("a batch starts before the previous batch has ended")]
     BatchInsideBatch,
-    /// Only the start of a batch may stand outside one.
-    #[error("no batch has begun")]
+    /// A line other than the start of a batch is outside a batch.
+    #[error("line outside a batch")]
     OutsideBatch,
-    /// The last batch has not ended.
+    /// The input ends before the last batch has ended.
     #[error("input ends inside a batch")]
     EndInsideBatch,
-    /// No such instance runs.
+    /// The line refers to an instance that is not running.
     #[error("instance {0} is not attached")]
     NotAttached(u64),
-    /// The controller does not accept an instance's settings.
+    /// The settings of an instance are not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An endpoint list names no catalog.
+    /// An endpoint list refers to no catalog, and its kind requires one.
     #[error("missing field `buffer`")]
     NoCatalog,
-    /// An endpoint list names a catalog that was not sent.
+    /// An endpoint list refers to a catalog that was not sent.
     #[error("unknown catalog number {0}")]
     UnknownCatalog(u64),
-    /// The line makes no event.
+    /// The line cannot be converted to an event.
     #[error(transparent)]
     Event(#[from] EventError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Reads batches of lines, passes their events to the instances, and returns the replies.
+//! Handles batches of lines: passes their events to the instances, and returns the replies.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,20 @@
 use crate::incoming::{BatchStart, Catalog, EndpointListLine, IncomingLine};
 use crate::instances::Instances;
 
-/// All instances of this process, the catalogs, and the batch that is being read.
+/// The state of the adapter: its instances, the catalogs, and the batch that is being read.
 #[derive(Default)]
 pub struct Host {
     instances: Instances,
+    /// The endpoints of each catalog, by the catalog's number.
     catalogs: BTreeMap<u64, Vec<ListedEndpoint>>,
+    /// The start of the batch that is being read; `None` between batches.
     batch: Option<BatchStart>,
+    /// Number of the last line that was read.
     lines_read: usize,
 }
 
 impl Host {
-    /// Handles one line, without its end; returns the reply if the line ends a batch.
+    /// Handles one line, given without its line break; returns the reply if the line ends a batch.
     pub fn handle_line(&mut self, number: usize, line: &[u8]) -> Result<Option<String>, InputError> {
         self.lines_read = number;
         let handled =
@@ -25,7 +28,7 @@
         handled.map_err(|reason| InputError { line: number, reason })
     }
 
-    /// Checks that the input may end here: between batches only.
+    /// Checks, at the end of the input, that the last batch has ended.
     pub fn finish(&self) -> Result<(), InputError> {
         match self.batch {
             None => Ok(()),
--- a/crates/simulator-adapter/src/incoming.rs
+++ b/crates/simulator-adapter/src/incoming.rs
@@ -1,4 +1,4 @@
-//! Lines from the simulator, and the controller's events that they make.
+//! Lines from the simulator, and their conversion to the controller's events.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a line makes no event.
+/// Why a line cannot be converted to an event.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// The settings list no such class.
+    /// The settings do not list the class.
     #[error("unknown class {0:?}")]
     UnknownClass(String),
-    /// The settings list no such tenant.
+    /// The settings do not list the tenant.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(String),
-    /// Tenants have names; of numbers, only 0 has a meaning: none.
+    /// The tenant is a number other than 0. Tenants are given by name; the only valid number is 0, for no
+    /// tenant.
     #[error("unknown tenant {0}")]
     TenantNumber(u64),
-    /// A note is not base64.
+    /// The content of a note is not valid base64.
     #[error("field `blob`: {0}")]
     NoteEncoding(#[from] base64::DecodeError),
 }
@@ -34,7 +35,7 @@
 #[derive(Deserialize)]
 #[serde(tag = "event_type")]
 pub enum IncomingLine {
-    /// A batch begins.
+    /// A batch starts.
     #[serde(rename = "round")]
     BatchStart(BatchStart),
     /// The batch ends; a reply is expected.
@@ -46,16 +47,16 @@
     /// An instance is killed.
     #[serde(rename = "powerOff")]
     Detach(InstanceEnd),
-    /// An endpoint list that later lines refer to.
+    /// A list of endpoints that later lines refer to by number.
     #[serde(rename = "catalog")]
     Catalog(Catalog),
-    /// The endpoint list of an instance changed.
+    /// The endpoint list of an instance changed, or could not be fetched.
     #[serde(rename = "update")]
     EndpointList(EndpointListLine),
     /// A client submitted a message.
     #[serde(rename = "jobIn")]
     Message(Box<MessageLine>),
-    /// A streamed response began.
+    /// A streamed response started.
     #[serde(rename = "ackFirst")]
     ResponseStarted(ResponseStartLine),
     /// An attempt ended.
@@ -78,9 +79,10 @@
 /// The start of a batch.
 #[derive(Deserialize)]
 pub struct BatchStart {
+    /// Time of the batch on the simulator's clock.
     #[serde(rename = "tMs")]
     time_ms: f64,
-    /// Number of the batch, returned at the end of its reply.
+    /// Number of the batch, repeated in the last line of the reply.
     pub round: u64,
 }
 
@@ -90,7 +92,7 @@
     /// Number of the instance.
     #[serde(rename = "i")]
     pub instance: u64,
-    /// Seed of its random numbers.
+    /// Seed of its random number generator.
     #[serde(rename = "initSeed")]
     pub seed: u64,
     /// Its settings.
@@ -105,10 +107,10 @@
     pub instance: u64,
 }
 
-/// An endpoint list with the number by which [`EndpointListLine`] refers to it.
+/// A list of endpoints, and the number by which an [`EndpointListLine`] refers to it.
 #[derive(Deserialize)]
 pub struct Catalog {
-    /// Its number; a later catalog with the same number replaces it.
+    /// Number of the catalog; a later catalog with the same number replaces it.
     #[serde(rename = "buffer")]
     pub number: u64,
     /// The endpoints.
@@ -122,13 +124,13 @@
     /// Number of the instance.
     #[serde(rename = "i")]
     pub instance: u64,
-    /// How the list is to be read.
+    /// Which endpoints the list contains.
     #[serde(rename = "how")]
     pub kind: ListKind,
     /// Version of the list.
     #[serde(rename = "gen")]
     pub version: Option<u64>,
-    /// The catalog that holds the list; a list that could not be fetched has none.
+    /// Number of the catalog that holds the endpoints; a list that could not be fetched needs none.
     #[serde(rename = "buffer")]
     pub catalog: Option<u64>,
 }
@@ -143,24 +145,27 @@
     id: u64,
     #[serde(rename = "service")]
     class: String,
+    /// Whether the client marked the message as a retry of its own.
     #[serde(rename = "resent")]
     repeat: Option<bool>,
     #[serde(rename = "mutates")]
     write: Option<bool>,
     #[serde(rename = "farEnd")]
     destination: u64,
+    /// Whether a sender that died had accepted the message before.
     returned: Option<bool>,
     #[serde(rename = "project")]
     tenant: Option<TenantReference>,
     #[serde(rename = "timeLeftMs")]
     time_left_ms: f64,
+    /// Estimate of the message's processing time at the destination, if known.
     #[serde(rename = "costGuessMs")]
     work_ms: Option<f64>,
     #[serde(rename = "entity")]
     order_key: Option<String>,
 }
 
-/// A tenant's name, or 0 for none.
+/// The name of a tenant, or the number 0 for no tenant.
 #[derive(Deserialize)]
 #[serde(untagged, expecting = "field `project` is neither a name nor a number")]
 enum TenantReference {
@@ -189,6 +194,7 @@
     id: u64,
     endpoint: u64,
     attempt: u32,
+    /// Whether the message ended with this attempt.
     #[serde(rename = "last")]
     is_final: bool,
     #[serde(rename = "elapsedMs")]
@@ -299,7 +305,7 @@
 }
 
 impl MessageLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self, names: &Names) -> Result<Event, EventError> {
         let class = names.class(&self.class).ok_or_else(|| EventError::UnknownClass(self.class.clone()))?;
         let tenant = self.tenant(names)?;
@@ -330,14 +336,14 @@
 }
 
 impl ResponseStartLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self) -> Event {
         Event::ResponseStarted { id: self.id, attempt: self.attempt }
     }
 }
 
 impl AttemptEndLine {
-    /// The event that the line makes. Only a rejection carries a Retry-After.
+    /// Converts the line to an event. A Retry-After is taken only from a rejection.
     pub fn into_event(self) -> Event {
         let is_rejected = self.outcome == OutcomeCode::Rejected;
         Event::AttemptEnded(AttemptEnd {
@@ -346,7 +352,7 @@
             endpoint: self.endpoint,
             outcome: self.outcome.into(),
             elapsed: micros_or_zero(self.elapsed_ms),
-            // The simulator counts all attempts.
+            // The simulator counts every attempt towards the limit of attempts.
             was_started: true,
             is_final: self.is_final,
             retry_after: if is_rejected { micros_or_zero(self.retry_after_ms) } else { 0 },
@@ -356,21 +362,21 @@
 }
 
 impl WithdrawalLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self) -> Event {
         Event::MessageWithdrawn { id: self.id }
     }
 }
 
 impl TimerLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self) -> Event {
         Event::TimerFired { token: self.token }
     }
 }
 
 impl ProbeEndLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self) -> Event {
         Event::ProbeEnded {
             endpoint: self.endpoint,
@@ -382,7 +388,7 @@
 }
 
 impl NoteLine {
-    /// The event that the line makes.
+    /// Converts the line to an event.
     pub fn into_event(self) -> Result<Event, EventError> {
         let bytes = BASE64_STANDARD.decode(self.base64)?;
         Ok(Event::NoteReceived { from: self.from, bytes })
--- a/crates/simulator-adapter/src/incoming/tests.rs
+++ b/crates/simulator-adapter/src/incoming/tests.rs
@@ -1,4 +1,4 @@
-//! The events of all lines, as the simulator writes them.
+//! Tests of the conversion of the simulator's lines to events.
 
 use delivery_control::{AttemptEnd, AttemptOutcome, Event, LoadReport, MessageSubmission};
 use deployment_config::{Config, Names};
@@ -17,6 +17,7 @@
     config.names()
 }
 
+/// Decodes a line that concerns one instance, and converts it to an event.
 fn event(line: &str) -> Result<Event, EventError> {
     match serde_json::from_str(line).expect("a line") {
         IncomingLine::Message(line) => line.into_event(&names()),
@@ -30,6 +31,7 @@
     }
 }
 
+/// A line that submits a message with every field; `project` is JSON.
 fn message(project: &str, service: &str) -> String {
     format!(
         r#"{{"event_type":"jobIn","i":1,"req":2,"service":"{service}","resent":true,"mutates":true,"farEnd":3,
@@ -37,6 +39,8 @@
     )
 }
 
+/// Guards against a field of a message that is ignored, assigned to the wrong field or left in milliseconds,
+/// and against tenant 0 being taken for a tenant.
 #[test]
 fn a_message_is_submitted() {
     let submission = |tenant| {
@@ -57,8 +61,9 @@
     assert_eq!(event(&message("0", "order")).expect("an event"), submission(None));
 }
 
+/// Guards against accepting a class or tenant that the settings do not list, or not naming it in the error.
 #[test]
-fn what_the_settings_do_not_list_is_named() {
+fn unknown_classes_and_tenants_are_named_in_the_error() {
     let cases = [
         (message("0", "parcel"), "unknown class \"parcel\""),
         (message("\"nobody\"", "order"), "unknown tenant \"nobody\""),
@@ -69,6 +74,8 @@
     }
 }
 
+/// Guards against a Retry-After being taken from the line of an attempt that was not rejected, and against
+/// other fields of the line being ignored or assigned to the wrong field.
 #[test]
 fn the_end_of_an_attempt_has_a_retry_after_only_if_it_was_rejected() {
     let line = |code: &str| {
@@ -96,6 +103,7 @@
     assert_eq!(delivered, ended(AttemptOutcome::Delivered, 0));
 }
 
+/// Guards against an outcome code that is unknown or mapped to the wrong outcome.
 #[test]
 fn every_code_stands_for_an_outcome() {
     let cases = [
@@ -115,8 +123,10 @@
     }
 }
 
+/// Guards against the remaining types of lines being mapped to the wrong event or field, and against a note
+/// that is not base64 being accepted.
 #[test]
-fn the_short_lines_have_their_events() {
+fn response_starts_withdrawals_timers_and_notes_become_events() {
     let note = Event::NoteReceived { from: 2, bytes: b"hello".to_vec() };
     let cases = [
         (
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The controllers of this process.
+//! The instances of this process, each with a controller of its own.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -10,25 +10,25 @@
 use crate::incoming::{InstanceStart, MessageLine};
 use crate::outgoing;
 
-/// One controller.
+/// A controller, the names in its settings, and its events of the current batch.
 pub struct Instance {
     controller: Controller,
     names: Names,
-    /// Events of the present batch.
+    /// Events of the current batch that the controller has not yet handled.
     events: Vec<Event>,
-    /// The controller's turn comes at the end of the batch, be it only because it was started.
+    /// Whether the controller runs at the end of the batch: it has events, or it was created in this batch.
     is_due: bool,
 }
 
 impl Instance {
-    /// Adds a message to the batch.
+    /// Adds the submission of a message to the events of the batch.
     pub fn submit(&mut self, line: MessageLine) -> Result<(), LineError> {
         let event = line.into_event(&self.names)?;
         self.push(event);
         Ok(())
     }
 
-    /// Adds an event to the batch.
+    /// Adds an event to the events of the batch.
     pub fn push(&mut self, event: Event) {
         self.events.push(event);
         self.is_due = true;
@@ -40,7 +40,7 @@
     }
 
     /// Runs the controller on the events of the batch and appends its actions to the reply. After a panic the
-    /// instance is of no more use.
+    /// state of the controller may be inconsistent, and the instance must not be used again.
     fn turn(&mut self, number: u64, now: Micros, reply: &mut String) -> Result<(), ControllerPanicked> {
         self.is_due = false;
         let events = std::mem::take(&mut self.events);
@@ -65,7 +65,7 @@
     }
 }
 
-/// A controller panicked; the reply says so already.
+/// A controller panicked. The line that reports the panic is already in the reply.
 struct ControllerPanicked;
 
 /// The running instances by their numbers.
@@ -73,12 +73,12 @@
 pub struct Instances(BTreeMap<u64, Instance>);
 
 impl Instances {
-    /// A running instance.
+    /// The running instance with this number.
     pub fn get_mut(&mut self, number: u64) -> Result<&mut Instance, LineError> {
         self.0.get_mut(&number).ok_or(LineError::NotAttached(number))
     }
 
-    /// Starts an instance, in place of one that has the same number.
+    /// Starts an instance; it replaces a running instance with the same number.
     pub fn attach(&mut self, start: &InstanceStart) -> Result<(), LineError> {
         let names = start.config.names();
         let settings = start.config.settings()?;
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Ends an instance.
+    /// Removes an instance. Its events of the current batch are dropped.
     pub fn detach(&mut self, number: u64) -> Result<(), LineError> {
         match self.0.remove(&number) {
             Some(_) => Ok(()),
@@ -96,11 +96,12 @@
         }
     }
 
-    /// The reply to a batch: the actions of all instances that are due, in the order of their numbers.
+    /// Runs all instances that are due, in the order of their numbers, and returns the reply to the batch
+    /// with their actions. Removes instances whose controller panicked.
     pub fn reply(&mut self, now: Micros, round: u64) -> String {
         let mut reply = String::new();
         self.0.retain(|number, instance| !instance.is_due || instance.turn(*number, now, &mut reply).is_ok());
-        outgoing::append_batch_end(&mut reply, round);
+        outgoing::append_reply_end(&mut reply, round);
         reply
     }
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts delivery controllers behind the simulator's line protocol: reads batches of JSON lines, writes
-//! replies.
+//! Runs delivery controllers in the simulator: reads batches of JSON lines from standard input and writes the
+//! replies to standard output.
 #![forbid(unsafe_code)]
 
 use std::io::{self, BufRead, Write};
@@ -16,7 +16,8 @@
 use host::Host;
 
 fn run() -> Result<(), InputError> {
-    // A controller's panic is reported in the reply; standard error carries nothing but input errors.
+    // The default hook would write panics to standard error. A controller's panic is reported in the reply,
+    // and standard error is reserved for input errors.
     std::panic::set_hook(Box::new(|_| {}));
     let mut host = Host::default();
     let mut output = io::stdout().lock();
--- a/crates/simulator-adapter/src/outgoing.rs
+++ b/crates/simulator-adapter/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Lines to the simulator, made of the controller's actions.
+//! Lines to the simulator: the controller's actions, reports of panics, and the ends of replies.
 
 use std::any::Any;
 
@@ -10,13 +10,13 @@
 #[cfg(test)]
 mod tests;
 
-/// On the wire, the target of a note that goes to all senders.
+/// Target of a note to all senders on the wire; other targets are numbers of senders.
 const ALL_SENDERS: i64 = -1;
 
-/// Stands for the message of a panic that carries none.
+/// Text reported for a panic whose payload is not a string.
 const NO_PANIC_MESSAGE: &str = "panic without text";
 
-/// A line to the simulator.
+/// A line to the simulator. Every variant except `Panic` and `ReplyEnd` represents an [`Action`].
 #[derive(Serialize)]
 #[serde(tag = "event_type")]
 enum OutgoingLine<'a> {
@@ -110,13 +110,13 @@
         text: &'a str,
     },
     #[serde(rename = "ready")]
-    BatchReply { round: u64 },
+    ReplyEnd { round: u64 },
 }
 
 impl OutgoingLine<'_> {
     fn from_action(instance: u64, action: Action) -> Self {
         match action {
-            // In the simulator, what is sent arrives in the same moment: it needs no limit for its beginning.
+            // `begin_by` is not needed: in the simulator, an attempt begins at the moment it is sent.
             Action::Send { id, endpoint, timeout, begin_by: _ } => {
                 Self::Send { instance, id, endpoint, timeout_ms: millis_from_micros(timeout) }
             }
@@ -142,13 +142,13 @@
     }
 
     fn append_to(&self, reply: &mut String) {
-        // Plain numbers and texts always serialize.
+        // Serialization cannot fail: all fields are numbers, booleans or strings.
         reply.push_str(&serde_json::to_string(self).unwrap_or_default());
         reply.push('\n');
     }
 }
 
-/// Appends an action's line to a reply.
+/// Appends the line for an action to a reply.
 pub fn append_action(reply: &mut String, instance: u64, action: Action) {
     OutgoingLine::from_action(instance, action).append_to(reply);
 }
@@ -159,11 +159,12 @@
 }
 
 /// Appends the line that ends a reply.
-pub fn append_batch_end(reply: &mut String, round: u64) {
-    OutgoingLine::BatchReply { round }.append_to(reply);
+pub fn append_reply_end(reply: &mut String, round: u64) {
+    OutgoingLine::ReplyEnd { round }.append_to(reply);
 }
 
-/// The message of a panic: formatted ones carry a `String`, plain ones a `&str`.
+/// The message of a panic. The payload is a `String` if the message was formatted, and a `&str` if it is a
+/// literal.
 fn panic_message(payload: &(dyn Any + Send)) -> &str {
     if let Some(text) = payload.downcast_ref::<String>() {
         return text;
--- a/crates/simulator-adapter/src/outgoing/tests.rs
+++ b/crates/simulator-adapter/src/outgoing/tests.rs
@@ -1,15 +1,18 @@
-//! The lines of all actions, as the simulator reads them.
+//! Tests of the lines that are written to the simulator.
 
 use delivery_control::{Action, BacklogReport, EndpointHealth};
 
-use super::{append_action, append_batch_end, append_panic};
+use super::{append_action, append_panic, append_reply_end};
 
+/// The line for an action of instance 5.
 fn line(action: Action) -> String {
     let mut reply = String::new();
     append_action(&mut reply, 5, action);
     reply
 }
 
+/// Guards against an action whose event type, field names or units differ from what the simulator reads. The
+/// lines are compared as text.
 #[test]
 fn every_action_has_its_line() {
     let cases = [
@@ -51,6 +54,8 @@
     }
 }
 
+/// Guards against losing the message of a panic: the payload is a `&str`, a `String` or another type,
+/// depending on how the panic was raised.
 #[test]
 fn a_panic_is_reported_with_its_message() {
     let payloads: [(Box<dyn std::any::Any + Send>, &str); 3] = [
@@ -65,10 +70,11 @@
     }
 }
 
+/// Guards against a reply whose last line does not give the number of the batch.
 #[test]
 fn a_reply_ends_with_the_number_of_its_batch() {
     let mut reply = String::new();
-    append_batch_end(&mut reply, 6);
+    append_reply_end(&mut reply, 6);
     assert_eq!(reply, "{\"event_type\":\"ready\",\"round\":6}\n");
 }
 
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -1,9 +1,9 @@
-//! Runs the adapter's binary on transcripts and checks what it answers.
+//! Runs the adapter's binary on input of several batches, and checks its replies and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Settings of an instance, with a field that the adapter does not know.
+/// Settings of an instance. They have an unknown field, `unknown`, which the adapter must ignore.
 const CONFIG: &str = r#"{"balancers":2,"ordinal":0,"categories":[
 {"name":"order","effect":"token","dedupScope":"all","windowMs":9000.0,"aimMs":1000.0,"deadlineMs":8000.0,
 "worth":1.0,"lateShare":0.5,"stream":false,"unknown":1},
@@ -15,7 +15,7 @@
 "rules":{"answerSlackMs":20.0,"drainGraceMs":1000.0,"overloadFactor":2.0,"startCapacity":0.2,
 "warmWithinMs":9000.0}}"#;
 
-/// Runs the adapter on this input until it ends.
+/// Runs the adapter on this input and waits until it exits.
 fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -23,12 +23,13 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may stop at a fault before it has read all, which breaks the pipe.
+    // Write errors are ignored: on invalid input the adapter may exit before it has read everything, which
+    // breaks the pipe.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// A batch of events at a time in milliseconds.
+/// The lines of a batch with these events, at a time in milliseconds.
 fn batch(number: u32, at_ms: f64, events: &[String]) -> String {
     let begin = format!("{{\"event_type\":\"round\",\"tMs\":{at_ms},\"round\":{number}}}\n");
     let mut events = events.join("\n");
@@ -38,13 +39,14 @@
     begin + &events + "{\"event_type\":\"overToYou\"}\n"
 }
 
-/// Starts an instance of the controller.
+/// The line that starts an instance with the settings in [`CONFIG`].
 fn attach(instance: u32) -> String {
     let config = CONFIG.replace('\n', "");
     format!("{{\"event_type\":\"attach\",\"i\":{instance},\"initSeed\":9,\"config\":{config}}}")
 }
 
-/// Defines an endpoint list, by a number that updates refer to, with one endpoint of destination 5.
+/// The line that defines a catalog, which [`update`] refers to by its number, with one endpoint of
+/// destination 5.
 fn catalog(buffer: u32, endpoint: u32) -> String {
     format!(
         "{{\"event_type\":\"catalog\",\"buffer\":{buffer},\"nodesList\":[\
@@ -53,12 +55,12 @@
     )
 }
 
-/// Reports the endpoint list with this number to an instance.
+/// The line that reports the endpoint list in this catalog to an instance.
 fn update(instance: u32, how: &str, buffer: u32) -> String {
     format!("{{\"event_type\":\"update\",\"i\":{instance},\"how\":\"{how}\",\"gen\":1,\"buffer\":{buffer}}}")
 }
 
-/// Submits a message of a class to an instance.
+/// The line that submits a message of a class to an instance.
 fn message_submitted(instance: u32, id: u32, class: &str) -> String {
     format!(
         "{{\"event_type\":\"jobIn\",\"i\":{instance},\"req\":{id},\"service\":\"{class}\",\"resent\":false,\
@@ -67,7 +69,7 @@
     )
 }
 
-/// Reports to instance 1 how the first attempt of a message ended.
+/// The line that reports to instance 1 how the first attempt of a message ended.
 fn attempt_ended(id: u32, code: &str, extra: &str) -> String {
     format!(
         "{{\"event_type\":\"completed\",\"i\":1,\"req\":{id},\"endpoint\":70,\"attempt\":0,\"last\":false,\
@@ -75,16 +77,19 @@
     )
 }
 
-/// The first batch: instance 1 with endpoint 70.
+/// The first batch, in five lines: it starts instance 1 and lists endpoint 70.
 fn first_batch() -> String {
     batch(1, 1000.0, &[attach(1), catalog(0, 70), update(1, "disk", 0)])
 }
 
-/// What the adapter wrote.
+/// Output of the adapter as text.
 fn text(bytes: &[u8]) -> String {
     String::from_utf8(bytes.to_vec()).expect("UTF-8")
 }
 
+/// Guards against faults in the whole path from submission to final answer: two messages are sent, the
+/// rejected one waits for its Retry-After, the one that failed and must not be repeated is reported as
+/// failed, and every batch gets its reply.
 #[test]
 fn messages_are_sent_and_ended_over_three_batches() {
     let input = first_batch()
@@ -115,6 +120,9 @@
     assert_eq!(numbers, [Some(1), Some(2), Some(3)]);
 }
 
+/// Guards against a killed instance that still acts on events of the same batch, against a new instance that
+/// uses an endpoint list which a later catalog with the same number has replaced, and against an empty batch
+/// without reply.
 #[test]
 fn empty_batches_restarts_and_redefined_endpoint_lists_are_handled() {
     let power_off = "{\"event_type\":\"powerOff\",\"i\":1}".to_owned();
@@ -136,6 +144,8 @@
     assert!(attempts[0].contains("\"req\":10") && attempts[0].contains("\"endpoint\":71"));
 }
 
+/// Guards against state that instances of one process share: an instance must act the same with and without a
+/// second one beside it.
 #[test]
 fn instances_share_no_state() {
     let both =
@@ -152,6 +162,8 @@
     assert_eq!(both, alone);
 }
 
+/// Guards against invalid input that is skipped, or that is reported without its line number and reason. The
+/// replies to the batches before it are still written.
 #[test]
 fn invalid_input_ends_the_adapter_with_one_error_line() {
     let begin = "{\"event_type\":\"round\",\"tMs\":2.0,\"round\":2}\n";
@@ -165,7 +177,7 @@
         (message_submitted(1, 3, "parcel") + "\n", 6, "unknown class"),
         (String::new(), 5, "input ends inside a batch"),
     ];
-    // The first batch has five lines, so that its fifth ends it and the next begins on the sixth.
+    // The first batch ends on line 5 and the second begins on line 6, so an event of the second is on line 7.
     for (event, lines_before, reason) in cases {
         let output = run_adapter(&(first_batch() + begin + &event));
         let error = text(&output.stderr);
@@ -176,6 +188,7 @@
     }
 }
 
+/// Guards against settings that are not valid being accepted, or reported without naming the wrong value.
 #[test]
 fn invalid_settings_are_named_in_the_error() {
     let invalid = attach(1).replace("side_effect", "maybe");
