--- a/crates/delivery-control/src/settings.rs
+++ b/crates/delivery-control/src/settings.rs
@@ -4,16 +4,17 @@
 
 use crate::ids::Micros;
 
-/// The reason why settings are not valid. Its text names fields of the settings.
+/// The reason why settings are not valid. Its text names a setting by its key in the configuration file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The settings contain no message class.
     #[error("the settings contain no message class")]
     NoClasses,
-    /// A duration is negative.
+    /// A duration is negative. Holds the key of the setting in the configuration file.
     #[error("{0} is negative")]
     Negative(&'static str),
-    /// A factor is negative or not finite, or a count is zero.
+    /// A factor is negative or not finite, or a count is zero. Holds the key of the setting in the
+    /// configuration file.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
     /// The text that states a message class's idempotency is not a known value.
@@ -227,7 +228,7 @@
     /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// Returns an error that names the first setting that is not valid.
+    /// Returns an error that names the first setting that is not valid by its key in the configuration file.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -240,22 +241,22 @@
     fn validate_durations(&self) -> Result<(), SettingsError> {
         let class_durations = self.classes.iter().flat_map(|class| {
             [
-                ("latency_objective", class.latency_objective),
-                ("deadline", class.deadline),
-                ("idempotency_window", class.idempotency_window),
+                ("aimMs", class.latency_objective),
+                ("deadlineMs", class.deadline),
+                ("windowMs", class.idempotency_window),
             ]
         });
         let durations = [
-            ("turn_interval", self.turn_interval),
-            ("connect_timeout", self.limits.connect_timeout),
-            ("connection_idle", self.limits.connection_idle),
-            ("max_retry_after", self.limits.max_retry_after),
-            ("answer_slack", self.rules.answer_slack),
-            ("poll_within", self.rules.poll_within),
-            ("drain_grace", self.rules.drain_grace),
-            ("overload_tolerance", self.rules.overload_tolerance),
-            ("warm_up_time", self.rules.warm_up_time),
-            ("quarantine_time", self.rules.quarantine_time),
+            ("resolutionMs", self.turn_interval),
+            ("connectTimeoutMs", self.limits.connect_timeout),
+            ("connIdleMs", self.limits.connection_idle),
+            ("maxRetryAfterMs", self.limits.max_retry_after),
+            ("answerSlackMs", self.rules.answer_slack),
+            ("askWithinMs", self.rules.poll_within),
+            ("drainGraceMs", self.rules.drain_grace),
+            ("fallMs", self.rules.overload_tolerance),
+            ("warmWithinMs", self.rules.warm_up_time),
+            ("orderPauseMs", self.rules.quarantine_time),
         ];
         match class_durations.chain(durations).find(|(_, duration)| *duration < 0) {
             Some((name, _)) => Err(SettingsError::Negative(name)),
@@ -266,15 +267,15 @@
     fn validate_factors(&self) -> Result<(), SettingsError> {
         let class_factors = self.classes.iter().flat_map(|class| {
             [
-                ("value", class.value),
-                ("residual_value", class.residual_value),
-                ("latency_objective_stretch", class.latency_objective_stretch),
+                ("worth", class.value),
+                ("lateShare", class.residual_value),
+                ("aimStretch", class.latency_objective_stretch),
             ]
         });
         let factors = [
-            ("overload_factor", self.rules.overload_factor),
-            ("initial_capacity", self.rules.initial_capacity),
-            ("over_quota_value", self.over_quota_value),
+            ("overloadFactor", self.rules.overload_factor),
+            ("startCapacity", self.rules.initial_capacity),
+            ("overShareWorth", self.over_quota_value),
         ];
         let is_valid = |factor: f64| factor.is_finite() && factor >= 0.0;
         match class_factors.chain(factors).find(|(_, factor)| !is_valid(*factor)) {
@@ -285,10 +286,10 @@
 
     fn validate_counts(&self) -> Result<(), SettingsError> {
         let counts = [
-            ("max_in_flight", self.limits.max_in_flight),
-            ("buffer_capacity", self.limits.buffer_capacity),
-            ("max_attempts", self.limits.max_attempts as usize),
-            ("sender_count", self.sender_count as usize),
+            ("maxCalls", self.limits.max_in_flight),
+            ("mostHeld", self.limits.buffer_capacity),
+            ("sendCap", self.limits.max_attempts as usize),
+            ("balancers", self.sender_count as usize),
         ];
         match counts.iter().find(|(_, count)| *count == 0) {
             Some((name, _)) => Err(SettingsError::OutOfRange(name)),
