--- a/crates/message-sender/src/discovery/client.rs
+++ b/crates/message-sender/src/discovery/client.rs
@@ -13,19 +13,19 @@
 use super::error::DiscoveryError;
 use crate::http_connection::Connection;
 
-/// Longest response body that is read.
+/// Longest response body that is read, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Where discovery is; the configuration may name another address while the process runs.
+/// The address of discovery, which a configuration reload may change while the process runs.
 pub type DiscoveryAddress = watch::Receiver<SocketAddr>;
 
-/// A client with one connection to discovery, which is opened anew after any failure.
+/// A client that keeps one connection to discovery and opens a new one after any failure.
 pub struct DiscoveryClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
-/// A complete response.
+/// A response that was read completely.
 pub struct DiscoveryResponse {
     status: StatusCode,
     body: Bytes,
@@ -61,7 +61,7 @@
         self.connection = None;
     }
 
-    /// Whether the connection was left open for the next request.
+    /// Whether a connection is kept open for the next request.
     #[cfg(test)]
     pub fn is_connected(&self) -> bool {
         self.connection.is_some()
@@ -86,7 +86,7 @@
         path: &str,
         body: Bytes,
     ) -> Result<DiscoveryResponse, DiscoveryError> {
-        // Taken out of the client, so that any failure from here on closes it.
+        // The connection is taken out of the client, so that any failure or timeout from here on closes it.
         let mut connection = self.take_or_open_connection().await?;
         let request = Request::builder().method(method).uri(path).header(HOST, self.address.to_string());
         let response = connection.send(request.body(Full::new(body))?).await?;
@@ -113,7 +113,7 @@
 }
 
 impl DiscoveryResponse {
-    /// The body of a response with the status that means success; any other status is an error.
+    /// The body of a response whose status is `success`; any other status is an error.
     pub fn into_body(self, success: StatusCode) -> Result<Bytes, DiscoveryError> {
         if self.status == success {
             Ok(self.body)
--- a/crates/message-sender/src/discovery/error.rs
+++ b/crates/message-sender/src/discovery/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a request to discovery.
+//! Errors of requests to discovery.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
     /// No connection could be opened.
     #[error("cannot connect to discovery at {address}: {source}")]
     Connect {
-        /// Where discovery was expected.
+        /// The configured address of discovery.
         address: SocketAddr,
-        /// What the system reported.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The request could not be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
-    /// The request could not be sent, or no response head came.
+    /// The request could not be sent, or no complete response head arrived.
     #[error("request failed: {0}")]
     Http(#[from] SendError),
-    /// The response body broke off or was too long.
+    /// The response body was cut off or longer than the client's limit.
     #[error("cannot read the response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// No complete response came in time.
+    /// No complete response arrived within this time.
     #[error("no complete response within {0:?}")]
     TimedOut(Duration),
-    /// The response has another status than the one that means success.
+    /// The response's status is not the one that means success.
     #[error("unexpected status {0}")]
     UnexpectedStatus(StatusCode),
     /// The response is not an endpoint list.
@@ -39,17 +39,18 @@
     MalformedList(#[from] serde_json::Error),
 }
 
-/// What a failure says about discovery.
+/// What a failure indicates about discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
-    /// No response: says nothing about discovery, only that the connection may be dead.
+    /// No complete response in time: the connection may be dead, which indicates nothing about discovery
+    /// itself.
     Timeout,
-    /// Anything else: discovery cannot be reached, rejected the request, or sent a response of no use.
+    /// Any other failure: discovery is unreachable, rejected the request, or sent an unusable response.
     Error,
 }
 
 impl DiscoveryError {
-    /// What the failure says about discovery.
+    /// What the failure indicates about discovery.
     pub fn kind(&self) -> FailureKind {
         match self {
             Self::TimedOut(_) => FailureKind::Timeout,
--- a/crates/message-sender/src/discovery/failure_log.rs
+++ b/crates/message-sender/src/discovery/failure_log.rs
@@ -1,15 +1,15 @@
-//! Log lines on failed polls and notices, at a limited rate.
+//! Rate-limited log lines about failed polls and notices.
 
 use std::time::Duration;
 
 use super::error::DiscoveryError;
 use crate::log_limit::LogLimit;
 
-/// Least time between log lines on failures.
+/// Minimum time between two log lines about failures.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Logs failed polls or notices, one line per [`LOG_INTERVAL`] at most, with the number of failures since the
-/// last line.
+/// Logs failed polls or notices, at most one line per [`LOG_INTERVAL`], each with the number of failures
+/// since the line before.
 pub struct FailureLog {
     limit: LogLimit,
 }
@@ -21,14 +21,14 @@
 }
 
 impl FailureLog {
-    /// Counts a failure, and logs it unless a line was logged a moment ago.
+    /// Counts a failed poll, and logs it unless a failure was logged less than [`LOG_INTERVAL`] ago.
     pub fn record_poll(&self, error: &DiscoveryError) {
         if let Some(failures) = self.limit.count() {
             tracing::info!(%error, failures, "discovery poll failed");
         }
     }
 
-    /// The same for notices, of which so many were not acknowledged.
+    /// Counts a failed request with this number of notices, and logs it under the same condition.
     pub fn record_notices(&self, error: &DiscoveryError, notices: usize) {
         if let Some(failures) = self.limit.count() {
             tracing::warn!(%error, notices, failures, "notices not acknowledged");
--- a/crates/message-sender/src/discovery/mod.rs
+++ b/crates/message-sender/src/discovery/mod.rs
@@ -1,9 +1,9 @@
 //! The connection to the discovery service: the watch on the endpoint list, and the notices that report how
 //! messages ended.
 //!
-//! The platform considers a sender informed of a change 6 s after discovery had it and could be reached,
-//! whatever became of the polls in between. The time from the start of a failed poll to the response to the
-//! next one therefore has to stay below that; the constants of [`poll`], [`poll_policy`] and [`backoff`] add
+//! The platform assumes that a sender knows a change 6 s after discovery has the change and is reachable,
+//! even if polls failed in the meantime. The time from the start of a failed poll to the response to the
+//! next one therefore has to stay below 6 s; the constants of [`poll`], [`poll_policy`] and [`backoff`] add
 //! up to less.
 
 mod backoff;
--- a/crates/message-sender/src/discovery/notices.rs
+++ b/crates/message-sender/src/discovery/notices.rs
@@ -1,4 +1,4 @@
-//! The notices that are still to be acknowledged, and the task that sends them to discovery.
+//! The queue of notices that are not acknowledged yet, and the task that sends them to discovery.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,30 +18,31 @@
 use crate::event::SenderEvent;
 use crate::notice::{Notice, NoticeResult};
 
-/// How long the response to notices may take at first. It is given at once, so without it the connection may
-/// be dead; the limit is doubled each time that no response came, so that a slow platform gets to respond at
-/// last.
+/// Initial timeout of a response to notices. The platform responds at once, so a missing response may mean
+/// that the connection is dead. Each timeout doubles the limit for the next response, so that a slow
+/// platform is given enough time eventually.
 const INITIAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// What the doubled limit never exceeds.
+/// Upper bound of the doubled response timeout.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Least delay before notices that were not acknowledged are sent again.
+/// Minimum delay before notices are sent again after an error other than a timeout.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The most that a retry delay is stretched by chance, as a multiple of itself, so that senders do not fall
-/// in step.
+/// Longest random addition to [`RETRY_DELAY`], as a multiple of it. It keeps the senders from retrying at the
+/// same time.
 const RETRY_JITTER: f64 = 2.0;
-/// Most notices that are sent in one request.
+/// Maximum number of notices in one request.
 const MAX_BATCH: usize = 64;
-/// Microseconds in a millisecond, the unit of waits on the wire.
+/// Microseconds per millisecond, the unit of durations on the wire.
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Notices to be sent, oldest first. The event loop bounds how many there are by what it buffers.
+/// Notices that are not acknowledged, oldest first. The event loop counts them against its buffer capacity,
+/// which limits their number.
 #[derive(Default)]
 pub struct NoticeQueue {
     pending: RefCell<VecDeque<PendingNotice>>,
     added: Notify,
 }
 
-/// A notice that the platform has yet to acknowledge.
+/// A notice that the platform has not acknowledged yet.
 #[derive(Clone)]
 struct PendingNotice {
     message_id: MessageId,
@@ -49,20 +50,20 @@
 }
 
 impl NoticeQueue {
-    /// Adds the notice for a message.
+    /// Adds the notice of a message's final outcome.
     pub fn push(&self, id: MessageId, notice: Notice) {
         self.pending.borrow_mut().push_back(PendingNotice { message_id: id, notice });
         self.added.notify_one();
     }
 
-    /// How many notices have not been acknowledged.
+    /// Number of notices that are not acknowledged.
     pub fn len(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// Sends notices, each again until it is acknowledged; returns when the event loop has ended. Notices
-    /// that were not acknowledged at an old address go to the new one: a notice that arrives twice does no
-    /// harm.
+    /// Sends notices, each repeatedly until it is acknowledged; returns when the event loop has ended.
+    /// After a change of address, notices that the old address did not acknowledge are sent to the new one:
+    /// a notice that arrives twice is harmless.
     pub async fn send(self: Rc<Self>, mut addresses: DiscoveryAddress, events: mpsc::Sender<SenderEvent>) {
         let mut sender = NoticeSender::new(DiscoveryClient::new(*addresses.borrow_and_update()));
         loop {
@@ -82,12 +83,13 @@
                         return;
                     }
                 }
-                Err(error) => sender.recover(&error, batch.len()).await,
+                Err(error) => sender.prepare_retry(&error, batch.len()).await,
             }
         }
     }
 
-    /// The oldest notices, which stay in the queue until they are acknowledged; waits until there is one.
+    /// Waits until there is a notice, and returns the oldest ones. They stay in the queue until they are
+    /// acknowledged.
     async fn next_batch(&self) -> Vec<PendingNotice> {
         loop {
             let batch: Vec<_> = self.pending.borrow().iter().take(MAX_BATCH).cloned().collect();
@@ -98,13 +100,13 @@
         }
     }
 
-    /// Removes the oldest notices and returns their messages.
+    /// Removes the oldest `count` notices and returns the ids of their messages.
     fn remove_acknowledged(&self, count: usize) -> Vec<MessageId> {
         self.pending.borrow_mut().drain(..count).map(|pending| pending.message_id).collect()
     }
 }
 
-/// Sends one batch of notices after the other.
+/// Sends batches of notices, one at a time.
 struct NoticeSender {
     client: DiscoveryClient,
     response_timeout: Duration,
@@ -116,7 +118,7 @@
         Self { client, response_timeout: INITIAL_RESPONSE_TIMEOUT, failure_log: FailureLog::default() }
     }
 
-    /// Sends a batch; `Ok` means that all of it is acknowledged.
+    /// Sends a batch; `Ok` means that the whole batch is acknowledged.
     async fn send(&mut self, batch: &[PendingNotice]) -> Result<(), DiscoveryError> {
         let response = self.client.post("/status", encode(batch), self.response_timeout).await?;
         response.into_body(StatusCode::NO_CONTENT)?;
@@ -124,9 +126,9 @@
         Ok(())
     }
 
-    /// Prepares the next attempt after a failed one, on a new connection: at once after a time-out, else
-    /// after a delay.
-    async fn recover(&mut self, error: &DiscoveryError, notices: usize) {
+    /// Prepares the next attempt after a failed one: closes the connection, so that the next attempt opens a
+    /// new one, and after any error other than a timeout waits for the retry delay.
+    async fn prepare_retry(&mut self, error: &DiscoveryError, notices: usize) {
         self.client.disconnect();
         self.failure_log.record_notices(error, notices);
         match error.kind() {
@@ -140,7 +142,7 @@
     }
 }
 
-/// A notice as discovery takes it.
+/// A notice in discovery's wire format.
 #[derive(Serialize)]
 struct NoticeLine<'a> {
     #[serde(rename = "ref")]
@@ -150,7 +152,7 @@
     retry_after_ms: Option<i64>,
 }
 
-/// How a message ended, in discovery's terms.
+/// The final outcome of a message in discovery's wire format.
 #[derive(Serialize)]
 enum LineResult {
     #[serde(rename = "dead")]
@@ -174,11 +176,11 @@
     }
 }
 
-/// The body of a request: one JSON object a line.
+/// The body of a request: one JSON object per line.
 fn encode(batch: &[PendingNotice]) -> Bytes {
     let mut body = Vec::new();
     for pending in batch {
-        // Plain texts and numbers always serialize.
+        // Serialization of strings and integers cannot fail.
         let line = serde_json::to_vec(&NoticeLine::from(&pending.notice)).unwrap_or_default();
         body.extend(line);
         body.push(b'\n');
--- a/crates/message-sender/src/discovery/poll.rs
+++ b/crates/message-sender/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One poll of the endpoint list: a long poll for what has changed, or a request for a snapshot.
+//! One poll of the endpoint list: a long poll for changes, or a request for a snapshot.
 
 use std::time::Duration;
 
@@ -8,61 +8,63 @@
 use super::error::DiscoveryError;
 use crate::endpoint_list::EndpointList;
 
-/// How long the response to a new watch, or with a snapshot, may take: longer than discovery lets a request
-/// wait in its queue (2 s), so that its work on a response is not wasted.
+/// Timeout of the response to a poll that starts a watch or requests a snapshot. It is longer than
+/// discovery keeps a request in its queue (2 s), so that discovery does not waste work on a response that
+/// the sender no longer waits for.
 pub const NEW_WATCH_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// How long the first poll of a watch waits for a change: its response should come at once, since it
-/// confirms that the known list is up to date.
+/// How long the first poll of a watch waits for a change. It is short, since the response confirms that the
+/// known list is up to date and should therefore arrive soon.
 pub const NEW_WATCH_WAIT: Duration = Duration::from_millis(50);
-/// How long, beyond its wait, the response to a poll that continues a watch may take: it comes at once, since
-/// it is no new watch.
+/// Timeout of the response to a poll that continues a watch, in addition to the wait for a change. Discovery
+/// responds without further delay, since the poll is not a new watch.
 pub const CONTINUED_WATCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The parameters of the next poll.
 pub struct Poll {
-    /// The version after which changes are requested; without one, a snapshot is requested.
+    /// The version after which changes are requested; `None` requests a snapshot.
     after: Option<u64>,
     /// How long discovery waits for a change before it responds.
     wait: Duration,
-    /// How long the response may take beyond that wait.
+    /// How long the response may take in addition to `wait`.
     response_timeout: Duration,
 }
 
 impl Poll {
-    /// Begins a watch with the changes after a version, or else with a snapshot.
+    /// Starts a watch with the changes after a version, or with a snapshot if there is no version.
     pub fn new_watch(after: Option<u64>) -> Self {
         Self { after, wait: NEW_WATCH_WAIT, response_timeout: NEW_WATCH_TIMEOUT }
     }
 
-    /// The version after which changes are requested.
+    /// The version after which changes are requested; `None` for a snapshot.
     pub fn after(&self) -> Option<u64> {
         self.after
     }
 
-    /// Continues the watch after a response with this version, with a poll that waits for the next change.
+    /// Continues the watch after a response with this version: the next poll waits up to `wait` for a change.
     pub fn continue_watch(&mut self, version: u64, wait: Duration) {
         self.after = Some(version);
         self.wait = wait;
         self.response_timeout = CONTINUED_WATCH_TIMEOUT;
     }
 
-    /// Begins a new watch after a failure: its first response again comes at once.
+    /// Starts a new watch after a failure, from the same version; its first poll waits only for
+    /// [`NEW_WATCH_WAIT`].
     pub fn restart_watch(&mut self) {
         *self = Self::new_watch(self.after);
     }
 
-    /// Requests a snapshot next, which may take as long as a new watch.
+    /// Makes the next poll request a snapshot, with the timeout of a new watch.
     pub fn request_snapshot(&mut self) {
         *self = Self::new_watch(None);
     }
 
-    /// Whether a response shows that discovery has started to count versions anew, so that what changed since
-    /// the requested one is unknown.
+    /// Whether a list shows that discovery has restarted its version count, so that the changes since the
+    /// requested version are unknown.
     pub fn is_version_reset(&self, list: &EndpointList) -> bool {
         !list.is_snapshot && self.after.is_some_and(|after| list.version < after)
     }
 
-    /// Sends the poll and waits for the list.
+    /// Sends the poll and returns the list in the response.
     pub async fn send(&self, client: &mut DiscoveryClient) -> Result<EndpointList, DiscoveryError> {
         let response = match self.after {
             None => client.get("/v1/servers", self.response_timeout).await?,
--- a/crates/message-sender/src/discovery/poll_policy.rs
+++ b/crates/message-sender/src/discovery/poll_policy.rs
@@ -1,4 +1,4 @@
-//! How often discovery may be polled, as the settings allow.
+//! The longest delays between polls, which depend on the settings.
 
 use std::time::Duration;
 
@@ -6,37 +6,39 @@
 
 use crate::time::duration;
 
-/// Longest time from the start of a failed poll to the start of the next one. Senders whose polls fail
-/// together use all of it, so that they do not overload discovery together.
+/// Longest time from the start of a failed poll to the start of the next one. Senders whose polls fail at the
+/// same time use all of it, so that together they do not overload discovery.
 pub const MAX_POLL_CYCLE: Duration = Duration::from_millis(3_600);
-/// Each sender's share of the longest delay between failed polls: all senders together then poll some twenty
-/// times a second, as long as the poll cycle allows.
+/// Each sender's contribution to the longest delay between failed polls. All senders together then poll about
+/// twenty times a second, unless [`MAX_POLL_CYCLE`] requires more polls.
 const BACKOFF_PER_SENDER: Duration = Duration::from_millis(100);
-/// Each sender's share of the longest delay before a watch that timed out is made anew.
+/// Each sender's contribution to the longest delay before a watch that timed out is restarted.
 const RECONNECT_DELAY_PER_SENDER: Duration = Duration::from_millis(3);
-/// The least that the longest delay before such a new watch is.
+/// Lower bound of the longest delay before a watch that timed out is restarted.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// Longest backoff where lists are pushed: a change counts as known as soon as the sender's own
-/// discovery agent has it.
+/// Longest backoff where lists are pushed. There the platform assumes that a sender knows a change as soon
+/// as the sender's own discovery agent has it.
 pub const MAX_PUSH_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Each sender's share of the time over which the senders ask a new address for a snapshot: some five a second
-/// do. A snapshot costs discovery many times what a change does, and a fleet that asks for one at once keeps
-/// it from telling changes for ten seconds.
+/// Each sender's contribution to the time over which the senders request snapshots at a new address; all
+/// senders together request about five a second. A snapshot costs discovery many times as much as a change,
+/// and a whole fleet that requests snapshots at once keeps discovery from reporting changes for ten
+/// seconds.
 const SNAPSHOT_SPREAD_PER_SENDER: Duration = Duration::from_millis(200);
 
 /// The longest delays between polls.
 #[derive(Debug, Clone, Copy)]
 pub struct PollPolicy {
-    /// Longest delay before the first poll of a process that knows an endpoint list.
+    /// Longest delay before the first poll of a process that already knows an endpoint list.
     pub(super) initial_delay: Duration,
-    /// Longest delay after a failed poll, doubled with each further failure.
+    /// Longest delay after a first failed poll; each further failure doubles it.
     pub(super) initial_backoff: Duration,
-    /// What the doubled delay never exceeds.
+    /// Upper bound of the doubled delay.
     pub(super) max_backoff: Duration,
-    /// Longest delay before a watch that timed out is made anew.
+    /// Longest delay before a watch that timed out is restarted.
     pub(super) reconnect_delay: Duration,
-    /// Longest delay before a snapshot is requested at a new address, where the watch goes on meanwhile.
+    /// Longest delay before a snapshot is requested at a new address; until then the watch there continues
+    /// from the known version.
     pub(super) snapshot_spread: Duration,
 }
 
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The discovery agent serves this sender alone.
+    /// The policy for a discovery agent that serves only this sender.
     fn push() -> Self {
         Self {
             initial_delay: Duration::ZERO,
@@ -60,18 +62,18 @@
         }
     }
 
-    /// One discovery service answers all senders.
+    /// The policy for one discovery service that all senders share.
     fn subscribe(settings: &Settings) -> Self {
-        // The settings may ask for a fresher list than the poll cycle would give.
+        // The settings may require a fresher list than the poll cycle alone would give.
         let poll_within = duration(settings.rules.poll_within);
         let max_backoff = MAX_POLL_CYCLE.min(poll_within).max(BACKOFF_PER_SENDER);
-        let backoff_of_all = BACKOFF_PER_SENDER * settings.sender_count;
-        let reconnect_delay_of_all = RECONNECT_DELAY_PER_SENDER * settings.sender_count;
+        let fleet_backoff = BACKOFF_PER_SENDER * settings.sender_count;
+        let fleet_reconnect_delay = RECONNECT_DELAY_PER_SENDER * settings.sender_count;
         Self {
-            initial_delay: (backoff_of_all / 2).min(max_backoff),
-            initial_backoff: backoff_of_all.min(max_backoff),
+            initial_delay: (fleet_backoff / 2).min(max_backoff),
+            initial_backoff: fleet_backoff.min(max_backoff),
             max_backoff,
-            reconnect_delay: reconnect_delay_of_all.max(MIN_RECONNECT_DELAY),
+            reconnect_delay: fleet_reconnect_delay.max(MIN_RECONNECT_DELAY),
             snapshot_spread: SNAPSHOT_SPREAD_PER_SENDER * settings.sender_count,
         }
     }
--- a/crates/message-sender/src/discovery/tests/client.rs
+++ b/crates/message-sender/src/discovery/tests/client.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery.
+//! Tests of the HTTP client for discovery.
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -7,7 +7,8 @@
 use crate::discovery::client::DiscoveryClient;
 use crate::discovery::poll::Poll;
 
-/// Guards against a handshake with each 503 response, which costs an overloaded discovery still more.
+/// Guards against a new connection after each 503 response: its handshake would load an overloaded discovery
+/// even more.
 #[tokio::test]
 async fn a_rejected_poll_leaves_its_connection_open() {
     let test = async {
--- a/crates/message-sender/src/discovery/tests/mod.rs
+++ b/crates/message-sender/src/discovery/tests/mod.rs
@@ -11,10 +11,12 @@
 
 use super::PollPolicy;
 
-/// The platform considers a sender informed of a change so long after discovery had it and could be reached.
+/// The platform assumes that a sender knows a change this long after discovery has the change and is
+/// reachable.
 const CHANGE_KNOWN_AFTER: Duration = Duration::from_secs(6);
 
-/// The policy of so many senders that poll one discovery, and whose settings allow a list to be 10 s old.
+/// The policy for `senders` senders that poll one discovery service; their settings allow a list to be 10 s
+/// old.
 fn subscribe_policy(senders: u32) -> PollPolicy {
     let rules = Rules { poll_within: 10_000_000, ..Rules::default() };
     PollPolicy::new(&Settings {
@@ -25,7 +27,7 @@
     })
 }
 
-/// The policy of so many senders of which each has a discovery agent of its own.
+/// The policy for `senders` senders, each of which has its own discovery agent.
 fn push_policy(senders: u32) -> PollPolicy {
     PollPolicy::new(&Settings {
         discovery: DiscoveryMode::Push,
--- a/crates/message-sender/src/discovery/tests/notices.rs
+++ b/crates/message-sender/src/discovery/tests/notices.rs
@@ -1,4 +1,4 @@
-//! Notices, against a discovery on a local socket.
+//! Tests of notices with a simulated discovery on a local socket.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 use crate::event::SenderEvent;
 use crate::notice::{Notice, NoticeResult};
 
-/// Guards against a message that is lost because its notice was written to a dead connection.
+/// Guards against a message that counts as lost because its notice was written to a dead connection and not
+/// sent again in time.
 #[tokio::test]
 async fn a_notice_is_soon_sent_again_when_its_connection_is_silent() {
     let test = async {
@@ -26,7 +27,7 @@
         let (mut first, _) = listener.accept().await.unwrap();
         assert!(first.read(&mut [0; 4096]).await.unwrap() > 0);
         let since = Instant::now();
-        // It stays open and does not respond.
+        // The first connection stays open without a response.
         let (mut second, _) = listener.accept().await.unwrap();
         assert!(second.read(&mut [0; 4096]).await.unwrap() > 0);
         assert!(since.elapsed() < Duration::from_millis(1_500), "{:?}", since.elapsed());
@@ -36,7 +37,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards the form of notices on the wire: one JSON object a line, a wait only where there is one.
+/// Guards the wire format of notices: one JSON object per line, with `wait_ms` only for a Retry-After of at
+/// least 1 ms.
 #[tokio::test]
 async fn notices_are_sent_as_lines_in_the_order_in_which_they_came() {
     let test = async {
--- a/crates/message-sender/src/discovery/tests/watch.rs
+++ b/crates/message-sender/src/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch, against a scripted discovery on local sockets.
+//! Tests of the watch with a simulated discovery on local sockets.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::endpoint_list::EndpointList;
 use crate::event::SenderEvent;
 
-/// Serves one connection with these bodies, one a request, and reports the request lines.
+/// Serves one connection, answers each request with the next of these bodies, and reports the request lines.
 async fn serve_bodies(listener: TcpListener, bodies: [&str; 4], request_lines: mpsc::Sender<String>) {
     let (mut stream, _) = listener.accept().await.unwrap();
     for body in bodies {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Splits a request line into its query without the wait, and the wait, 0 if there is none.
+/// Splits a request line into its query without the wait, and the wait in milliseconds, 0 if there is none.
 fn split_wait(request_line: &str) -> (String, u64) {
     let query = request_line.replace(" HTTP/1.1", "").replace("GET /v1/servers", "");
     match query.split_once("&wait_ms=") {
@@ -37,8 +37,9 @@
     }
 }
 
-/// Guards against two polls by each process of a restarted fleet where one will do, and against a discovery
-/// that counts versions anew being waited for until it has caught up.
+/// Guards against two polls by each process of a restarted fleet where one is enough, since the process
+/// already knows a list. Also guards against a sender that waits for a discovery with a restarted version
+/// count to reach the known version, and gets no changes until then.
 #[tokio::test]
 async fn a_known_list_is_watched_from_its_version_on() {
     let test = async {
@@ -73,16 +74,16 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// How a scripted discovery responds to a poll, whatever connection it comes on.
+/// How a scripted discovery responds to a poll, on any connection.
 #[derive(Clone, Copy)]
 enum Response {
-    /// With this version, and no entries.
+    /// With a list of this version without entries.
     Version(u64),
-    /// Not at all; the connection stays open.
+    /// With nothing; the connection stays open.
     Nothing,
-    /// With no more than the start of a list; the connection stays open.
+    /// With only the start of a list; the connection stays open.
     Partial,
-    /// With a 503.
+    /// With status 503.
     Rejection,
 }
 
@@ -90,7 +91,7 @@
     fn text(self) -> String {
         match self {
             Self::Version(version) => {
-                // Indented, as lists may come.
+                // Indented, since discovery may send indented lists.
                 let list = format!(
                     "{{\n  \"index\": {version},\n  \"snapshot\": false,\n  \"endpoints\": [\n  ]\n}}\n"
                 );
@@ -103,17 +104,18 @@
     }
 }
 
-/// The version after which each poll requests changes.
+/// Receives the version after which each poll requests changes; `None` for a snapshot.
 type PolledVersions = mpsc::UnboundedReceiver<Option<u64>>;
 
-/// What the connections of a scripted discovery share.
+/// State that the connections of a scripted discovery share.
 struct ScriptedDiscovery {
     script: RefCell<Vec<Response>>,
     polled_versions: mpsc::UnboundedSender<Option<u64>>,
 }
 
 impl ScriptedDiscovery {
-    /// Starts a discovery that plays a script, one entry a poll, the last for all that follow.
+    /// Starts a discovery that answers each poll with the next entry of a script, and with the last entry
+    /// from then on.
     async fn start(script: Vec<Response>) -> (SocketAddr, PolledVersions) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -148,16 +150,17 @@
     }
 }
 
-/// The versions of so many polls, in order, each within the time limit from the one before.
+/// The versions of the next `count` polls in order; each has to arrive within [`CHANGE_KNOWN_AFTER`] of the
+/// one before.
 async fn versions_polled(polls: &mut PolledVersions, count: usize) -> Vec<Option<u64>> {
     let mut versions = Vec::new();
     for _ in 0..count {
-        versions.push(timeout(CHANGE_KNOWN_AFTER, polls.recv()).await.expect("in time").unwrap());
+        versions.push(timeout(CHANGE_KNOWN_AFTER, polls.recv()).await.expect("next poll in time").unwrap());
     }
     versions
 }
 
-/// Runs a watch from version 7 on against a script, and checks the versions that it polls.
+/// Runs a watch from version 7 against a script, and checks the versions after which it requests changes.
 async fn check_polled_versions(script: &[Response], policy: PollPolicy, expected: &[Option<u64>]) {
     let (address, mut polls) = ScriptedDiscovery::start(script.to_vec()).await;
     let (_address_sender, addresses) = tokio::sync::watch::channel(address);
@@ -166,7 +169,7 @@
     assert_eq!(versions_polled(&mut polls, expected.len()).await, expected);
 }
 
-/// Runs watches against all ways to fail at the same time.
+/// Checks watches against all kinds of failure, all at the same time.
 async fn check_all_failures(policy: PollPolicy) {
     use Response::{Nothing, Partial, Rejection, Version};
     tokio::join!(
@@ -190,9 +193,9 @@
     );
 }
 
-/// Guards against a change that counts as known before it is polled for: after silence from the first poll,
-/// right after a response, or in the middle of a list; after rejections; with one sender and with the most
-/// there are.
+/// Guards against a change that the platform assumes known before the sender polls for it. Discovery falls
+/// silent at the first poll, right after a response or in the middle of a list, or rejects polls; there is
+/// one sender, or the maximum number of senders.
 #[tokio::test]
 async fn a_failed_poll_is_repeated_in_time() {
     let test = async {
@@ -205,14 +208,14 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Moves a watch to another address while the old one fails in this way.
+/// Moves a watch to another address while the old address fails in this way.
 async fn check_address_change(failure: Response) {
     let (old_address, mut old_polls) = ScriptedDiscovery::start(vec![failure]).await;
     let (new_address, mut new_polls) =
         ScriptedDiscovery::start(vec![Response::Version(3), Response::Nothing]).await;
     let (address_sender, addresses) = tokio::sync::watch::channel(old_address);
     let (event_sender, mut events) = mpsc::channel(8);
-    // So many senders that delays last for half a minute.
+    // So many senders that the policy's delays are at their longest.
     tokio::task::spawn_local(watch(addresses, event_sender, subscribe_policy(3_000), None));
     assert_eq!(versions_polled(&mut old_polls, 1).await, [None]);
     address_sender.send(new_address).unwrap();
@@ -223,8 +226,8 @@
     ));
 }
 
-/// Guards against a new address that is polled only after the delay of a poll that failed at the old one, or
-/// after that one's silence.
+/// Guards against a new address that is polled only after the backoff of a poll that failed at the old
+/// address, or only after the timeout of a poll that got no response there.
 #[tokio::test]
 async fn a_new_address_is_polled_at_once_whatever_became_of_the_old_one() {
     let test = async {
@@ -237,8 +240,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Answers polls with version 9, new watches and snapshots at once, and reports the request lines; holds the
-/// polls that continue a watch.
+/// Answers polls that start a watch or request a snapshot at once, with version 9; never answers polls that
+/// continue a watch. Reports all request lines.
 async fn serve_version_nine(listener: TcpListener, request_lines: mpsc::UnboundedSender<String>) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -266,23 +269,23 @@
     }
 }
 
-/// Guards against a fleet that is moved to another address and asks it for snapshots all at once: they cost
-/// discovery so much that nobody hears of drains in time.
+/// Guards against a fleet that moves to another address and requests snapshots there all at once: they cost
+/// discovery so much that no sender learns of drains in time.
 #[tokio::test]
 async fn a_fleet_that_moves_to_a_new_address_asks_for_few_snapshots_at_once() {
     const WATCHES: usize = 60;
     const SENDERS: u32 = 300;
     let test = async {
-        let mut listeners = Vec::new();
+        let mut discovery_addresses = Vec::new();
         let mut lines = Vec::new();
         for _ in 0..2 {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            listeners.push(listener.local_addr().unwrap());
+            discovery_addresses.push(listener.local_addr().unwrap());
             let (line_sender, request_lines) = mpsc::unbounded_channel();
             tokio::task::spawn_local(serve_version_nine(listener, line_sender));
             lines.push(request_lines);
         }
-        let (address_sender, addresses) = tokio::sync::watch::channel(listeners[0]);
+        let (address_sender, addresses) = tokio::sync::watch::channel(discovery_addresses[0]);
         let (event_sender, mut events) = mpsc::channel(4 * WATCHES);
         for _ in 0..WATCHES {
             let policy = subscribe_policy(SENDERS);
@@ -291,13 +294,13 @@
         for _ in 0..WATCHES {
             events.recv().await.unwrap();
         }
-        address_sender.send(listeners[1]).unwrap();
+        address_sender.send(discovery_addresses[1]).unwrap();
         let mut first_lines = Vec::new();
         while first_lines.len() < WATCHES {
             first_lines.push(lines[1].recv().await.unwrap());
         }
         let snapshots = first_lines.iter().filter(|line| !line.contains("after=9")).count();
-        // A minute's worth of snapshots; all of them came at once before.
+        // The snapshot requests are spread over a minute; without the spread, all of them came at once.
         assert!(snapshots <= WATCHES / 10, "{snapshots} of {WATCHES}");
     };
     LocalSet::new().run_until(test).await;
--- a/crates/message-sender/src/discovery/watch.rs
+++ b/crates/message-sender/src/discovery/watch.rs
@@ -14,10 +14,10 @@
 use crate::event::SenderEvent;
 
 /// Watches the endpoint list and sends each list to the event loop; returns when the event loop has ended. A
-/// new address ends the watch at the old one together with its connection, so that no list from the old
-/// address can follow one from the new address.
+/// new address ends the watch at the old one and closes its connection, so that no list from the old address
+/// can arrive after one from the new address.
 ///
-/// `known_version` is the version of the list that the process knows already, if any.
+/// `known_version` is the version of the list that the process already knows, if any.
 pub async fn watch(
     mut addresses: DiscoveryAddress,
     events: mpsc::Sender<SenderEvent>,
@@ -25,8 +25,8 @@
     known_version: Option<u64>,
 ) {
     let mut watcher = ListWatcher::new(events, policy, known_version);
-    // A sender that knows a list can serve on it meanwhile. A new address is polled at once: its list may be
-    // newer.
+    // A sender that knows a list can deliver messages with it during the delay. A later change of address is
+    // followed by a poll at once, since the list there may be newer.
     if known_version.is_some() {
         sleep(watcher.backoff.initial_delay()).await;
     }
@@ -40,14 +40,15 @@
     }
 }
 
-/// The state that outlives the watch at one address.
+/// The state that is kept when the address changes.
 struct ListWatcher {
     events: mpsc::Sender<SenderEvent>,
     backoff: Backoff,
     failure_log: FailureLog,
-    /// The version of the last list.
+    /// The version of the last known list, if any.
     known_version: Option<u64>,
-    /// When a snapshot is to be requested: a new address may count versions of its own, beyond the known one.
+    /// When to request a snapshot after a change of address: the new address may count versions
+    /// independently, and its count may be beyond the known version.
     snapshot_due: Option<Instant>,
 }
 
@@ -57,20 +58,20 @@
         Self { events, backoff, failure_log: FailureLog::default(), known_version, snapshot_due: None }
     }
 
-    /// Prepares the watch at a new address. What failed at the old one says nothing about it. Most often the
-    /// same service has moved: its changes are cheap, and a snapshot is requested some time later, when the
-    /// other senders do not all ask for one.
+    /// Prepares the watch at a new address. Failures at the old address indicate nothing about the new one.
+    /// In most cases the same service has moved: changes cost it little, and a snapshot is requested after
+    /// a random delay, so that not all senders request one at the same time.
     fn move_to_new_address(&mut self) {
         self.backoff.reset();
         self.snapshot_due = Some(Instant::now() + self.backoff.snapshot_delay());
     }
 
-    /// Watches the list at one address, from the version on that is known, or else from a snapshot. Returns
-    /// when the event loop has ended.
+    /// Watches the list at one address, from the known version, or from a snapshot if no version is known.
+    /// Returns when the event loop has ended.
     ///
-    /// The next poll goes out at once after each response: a later one would begin a new watch, and changes
-    /// in between would count as known to this sender though they were not. New watches are what is expensive
-    /// for discovery; a first poll for a snapshot would be one more.
+    /// The next poll is sent at once after each response. A later poll would start a new watch, and the
+    /// platform would assume that this sender knows the changes in between although it does not. New
+    /// watches are what costs discovery most; an additional first poll for a snapshot would be one more.
     async fn watch_address(&mut self, address: SocketAddr) {
         let mut client = DiscoveryClient::new(address);
         let mut poll = Poll::new_watch(self.known_version);
--- a/crates/message-sender/src/endpoint_list.rs
+++ b/crates/message-sender/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it.
+//! The endpoint list in discovery's wire format.
 
 #[cfg(test)]
 mod tests;
@@ -8,24 +8,24 @@
 use delivery_control::{DestinationId, ListingState, Micros, UpdateKind};
 use serde::Deserialize;
 
-/// Microseconds in a millisecond, the unit of the wire's times.
+/// Microseconds per millisecond, the unit of times on the wire.
 const MICROS_PER_MILLISECOND: f64 = 1e3;
 
-/// All endpoints, or those that have changed.
+/// A complete endpoint list, or only the entries that have changed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointList {
-    /// Discovery's version of the list.
+    /// The version that discovery gave the list.
     #[serde(rename = "index")]
     pub version: u64,
-    /// The list is complete; otherwise it holds changed entries only.
+    /// Whether the list is complete; otherwise it holds only changed entries.
     #[serde(rename = "snapshot")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// The entries, one per endpoint.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointList {
-    /// Whether the list replaces what was known, or changes it.
+    /// Whether the list replaces the known one or only changes it.
     pub fn update_kind(&self) -> UpdateKind {
         if self.is_snapshot {
             UpdateKind::Snapshot
@@ -35,16 +35,16 @@
     }
 }
 
-/// One entry of a list.
+/// One entry of an endpoint list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedEndpoint {
-    /// The name, which identifies the endpoint.
+    /// The name that identifies the endpoint.
     pub name: String,
-    /// Where it accepts calls.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
-    /// The name of the zone that it is in.
+    /// The name of the zone that it runs in.
     pub zone: Option<String>,
-    /// The name of its kind.
+    /// The name of its kind of destination.
     #[serde(rename = "type")]
     pub kind: Option<String>,
     /// The destination that it belongs to.
@@ -52,16 +52,16 @@
     pub destination: DestinationId,
     /// Whether it may be called.
     pub status: ListedStatus,
-    /// The rate that it is listed with; 0 if none is.
+    /// Listed rate limit in calls per second, of all senders together; 0 if none is listed.
     #[serde(default)]
     pub weight: f64,
-    /// Since when it has been online, in milliseconds of the platform's clock; 0 if that is not known.
+    /// When it came online, in milliseconds of the platform's clock; 0 if unknown.
     #[serde(rename = "since_ms", default)]
     pub online_since_ms: f64,
 }
 
 impl ListedEndpoint {
-    /// Since when it has been online, if that is known.
+    /// When it came online, in microseconds of the platform's clock, if known.
     pub fn online_since(&self) -> Option<Micros> {
         let online_since = (self.online_since_ms * MICROS_PER_MILLISECOND) as Micros;
         (online_since > 0).then_some(online_since)
@@ -72,9 +72,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedStatus {
-    /// It takes calls.
+    /// It accepts calls.
     Up,
-    /// It finishes the calls in flight and takes no new ones.
+    /// It finishes the calls in flight and accepts no new ones.
     Draining,
     /// It no longer exists.
     Removed,
--- a/crates/message-sender/src/endpoint_list/tests.rs
+++ b/crates/message-sender/src/endpoint_list/tests.rs
@@ -1,8 +1,9 @@
-//! The wire form of the endpoint list.
+//! Tests of the endpoint list's wire format.
 
 use super::*;
 
-/// Guards the names on the wire, and what may be left out.
+/// Guards the field names of the wire format and its optional fields: a renamed field would make lists from
+/// discovery unreadable or silently drop its values.
 #[test]
 fn a_list_is_read_under_the_names_of_the_wire() {
     let text = r#"{"index": 9, "snapshot": true, "endpoints": [
@@ -34,7 +35,8 @@
     assert_eq!(statuses, [ListedStatus::Up, ListedStatus::Draining, ListedStatus::Removed]);
 }
 
-/// Guards against a list of changes that is taken for a complete one.
+/// Guards against a list of changes that is treated as complete: all endpoints that it does not name would be
+/// removed.
 #[test]
 fn a_list_that_is_no_snapshot_is_a_delta() {
     let list: EndpointList =
