--- a/crates/message-sender/src/endpoint_registry/ids.rs
+++ b/crates/message-sender/src/endpoint_registry/ids.rs
@@ -1,11 +1,11 @@
-//! The ids under which the controller knows endpoints.
+//! The ids that the controller uses for endpoints.
 
 use std::collections::HashMap;
 
 use delivery_control::EndpointId;
 use serde::{Deserialize, Serialize};
 
-/// The ids of endpoints by name. No id is ever assigned twice.
+/// The ids of endpoints by name. An id is never reused.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct EndpointIds {
     by_name: HashMap<String, EndpointId>,
@@ -18,7 +18,7 @@
         self.by_name.get(name).copied()
     }
 
-    /// The id of an endpoint, which gets one if it has none.
+    /// The id of an endpoint; assigns one if the endpoint has none.
     pub fn get_or_assign(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.get(name) {
             return id;
@@ -28,12 +28,12 @@
         self.last_assigned
     }
 
-    /// Forgets an endpoint: should it come back, it gets a new id.
+    /// Forgets the id of an endpoint; if the endpoint returns, it gets a new one.
     pub fn release(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// How many endpoints have ids.
+    /// Number of endpoints that have ids.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.by_name.len()
--- a/crates/message-sender/src/endpoint_registry/mod.rs
+++ b/crates/message-sender/src/endpoint_registry/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints and destinations that discovery's lists name, under the controller's ids.
+//! The endpoints and destinations in discovery's lists, under the ids that the controller uses.
 
 mod destinations;
 mod ids;
--- a/crates/message-sender/src/endpoint_registry/registry.rs
+++ b/crates/message-sender/src/endpoint_registry/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of endpoints, kept up to date from discovery's lists.
+//! The registry of endpoints, which discovery's lists keep up to date.
 
 #[cfg(test)]
 mod tests;
@@ -17,18 +17,19 @@
 use crate::delivery::Route;
 use crate::endpoint_list::{EndpointList, ListedEndpoint, ListedStatus};
 
-/// How long a departed endpoint keeps its id, so that one that comes back is not taken for a new one.
+/// How long a departed endpoint keeps its id, so that an endpoint that returns is not treated as a new one.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
 
-/// An endpoint that is listed, or was of late.
+/// An endpoint that is listed, or was until recently.
 pub struct RegisteredEndpoint {
-    /// Where it accepts calls.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
-    /// The route that its calls share a Retry-After with.
+    /// The route that it belongs to; a Retry-After applies to all calls of a route.
     pub route: Route,
     /// Index of its zone; one past the end if the settings do not contain the zone.
     pub zone: usize,
     name: String,
+    /// When it departed; `None` while it is listed.
     departed_at: Option<Instant>,
 }
 
@@ -46,33 +47,34 @@
     }
 }
 
-/// What a list means to the controller and to the connection pool.
+/// What the controller and the connection pool need to know about a list that was applied.
 pub struct RegistryUpdate {
     /// How the entries are to be read.
     pub update: UpdateKind,
-    /// The list's entries in the controller's terms.
+    /// The list's entries, with the controller's ids and indices.
     pub entries: Vec<EndpointEntry>,
     /// Endpoints whose idle connections are of no more use.
     pub departed: Vec<EndpointId>,
 }
 
-/// All endpoints that are listed, or were of late, and the destinations that they belong to.
+/// All endpoints that are listed or were until recently, and the destinations that they belong to.
 pub struct EndpointRegistry {
     names: Names,
     kinds: Vec<DestinationKind>,
     endpoints: HashMap<EndpointId, RegisteredEndpoint>,
     ids: EndpointIds,
     destinations: Destinations,
-    /// A complete list from discovery is known.
+    /// Whether a complete list from discovery is known.
     is_complete: bool,
-    /// A list that an earlier process stored is known.
+    /// Whether a list that an earlier process stored was loaded.
     has_cached_list: bool,
-    /// Names of endpoints that operators have drained; they keep their ids.
+    /// Names of the endpoints that operators have drained; these endpoints keep their ids after they depart.
     drained: HashSet<String>,
 }
 
 impl EndpointRegistry {
-    /// An empty registry. `names` gives the indices of kinds and zones, and `kinds` has the kinds themselves.
+    /// An empty registry. `names` gives the indices of kinds and zones, and `kinds` holds the kinds
+    /// themselves.
     pub fn new(names: Names, kinds: Vec<DestinationKind>) -> Self {
         Self {
             names,
@@ -86,7 +88,8 @@
         }
     }
 
-    /// The state that the successor process needs. Which endpoints are drained it reads from the journal.
+    /// The state that the successor process needs. Drained endpoints are not part of it: the successor reads
+    /// them from the journal.
     pub fn snapshot(&self) -> RegistrySnapshot {
         let record = |(id, endpoint): (&EndpointId, &RegisteredEndpoint)| EndpointRecord {
             id: *id,
@@ -104,8 +107,8 @@
         }
     }
 
-    /// Continues from the state of a predecessor process. Departed endpoints are retained as if they departed
-    /// now.
+    /// Continues from the state of a predecessor process. Departed endpoints are retained as if they had
+    /// departed now.
     pub fn restore(&mut self, snapshot: RegistrySnapshot) {
         let now = Instant::now();
         let endpoint = |record: EndpointRecord| RegisteredEndpoint {
@@ -121,24 +124,24 @@
         self.is_complete = snapshot.is_complete;
     }
 
-    /// How many endpoints are listed.
+    /// Number of listed endpoints.
     pub fn listed_count(&self) -> usize {
         self.endpoints.values().filter(|endpoint| endpoint.is_listed()).count()
     }
 
-    /// Whether operators' commands can refer to an endpoint: it is listed, or was drained before it departed.
+    /// Whether operators' commands can refer to an endpoint: it is listed, or an operator has drained it.
     pub fn is_known(&self, name: &str) -> bool {
         let registered = self.ids.get(name).and_then(|id| self.endpoints.get(&id));
         self.drained.contains(name) || registered.is_some_and(RegisteredEndpoint::is_listed)
     }
 
-    /// Marks an endpoint as drained by an operator, listed or not.
+    /// Marks an endpoint as drained by an operator, whether it is listed or not, and returns its id.
     pub fn mark_drained(&mut self, name: &str) -> EndpointId {
         self.drained.insert(name.to_owned());
         self.ids.get_or_assign(name)
     }
 
-    /// Marks an endpoint as no longer drained.
+    /// Marks an endpoint as no longer drained and returns its id, which it loses if it is not registered.
     pub fn mark_restored(&mut self, name: &str) -> EndpointId {
         self.drained.remove(name);
         let id = self.ids.get_or_assign(name);
@@ -148,7 +151,7 @@
         id
     }
 
-    /// A registered endpoint.
+    /// The endpoint with this id, if it is registered.
     pub fn get(&self, endpoint: EndpointId) -> Option<&RegisteredEndpoint> {
         self.endpoints.get(&endpoint)
     }
@@ -164,13 +167,13 @@
         }
     }
 
-    /// Applies the list that an earlier process stored, of unknown age.
+    /// Applies a list that an earlier process stored, of unknown age.
     pub fn load_cached(&mut self, list: &EndpointList) -> RegistryUpdate {
         self.has_cached_list = true;
         self.apply(list, UpdateKind::Cached)
     }
 
-    /// Applies a list from discovery. What has changed since a cached list makes that one complete.
+    /// Applies a list from discovery. A cached list and the changes since then together are a complete list.
     pub fn apply_update(&mut self, list: &EndpointList) -> RegistryUpdate {
         self.is_complete |= list.is_snapshot || self.has_cached_list;
         self.apply(list, list.update_kind())
@@ -194,7 +197,7 @@
         RegistryUpdate { update, entries, departed }
     }
 
-    /// The controller's entry for a listed endpoint.
+    /// The controller's entry for a listed endpoint, with an id that is assigned if the endpoint has none.
     fn entry(&mut self, listed: &ListedEndpoint) -> EndpointEntry {
         EndpointEntry {
             endpoint: self.ids.get_or_assign(&listed.name),
@@ -207,8 +210,8 @@
         }
     }
 
-    /// Registers a listed endpoint. Returns whether idle connections to it are of no more use: it has moved
-    /// to another address, or takes no new calls.
+    /// Registers a listed endpoint. Returns whether idle connections to it can no longer be used, since it
+    /// has moved to another address or accepts no new calls.
     fn register(&mut self, entry: &EndpointEntry, listed: &ListedEndpoint, now: Instant) -> bool {
         let endpoint = RegisteredEndpoint {
             address: listed.address,
@@ -223,30 +226,32 @@
         has_moved || listed.status != ListedStatus::Up
     }
 
-    /// The route of an endpoint: one of its own where its kind has limits for each endpoint.
+    /// The route of an endpoint: its own if its kind has limits per endpoint, otherwise its destination's.
     fn route(&self, entry: &EndpointEntry) -> Route {
         let per_endpoint = self.kinds.get(entry.kind).is_some_and(|kind| kind.per_endpoint_limits);
         Route { destination: entry.destination, endpoint: per_endpoint.then_some(entry.endpoint) }
     }
 
-    /// Marks the endpoints that a complete list leaves out: they have departed without an entry that says so.
+    /// Marks the endpoints that are missing from a complete list as departed: they have departed without an
+    /// entry that says so.
     fn mark_unlisted_departed(
         &mut self,
         entries: &[EndpointEntry],
         now: Instant,
         departed: &mut Vec<EndpointId>,
     ) {
-        let named: HashSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        let listed_ids: HashSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         for (id, endpoint) in &mut self.endpoints {
-            if endpoint.is_listed() && !named.contains(id) {
+            if endpoint.is_listed() && !listed_ids.contains(id) {
                 endpoint.departed_at = Some(now);
                 departed.push(*id);
             }
         }
     }
 
-    /// Forgets what departed long ago: under steady replacement the registry would grow for good. A call that
-    /// is still in flight carries its own address.
+    /// Forgets endpoints and destinations whose retention time has passed; otherwise the registry would
+    /// grow without limit as endpoints are replaced. A call that is still in flight has its own copy of the
+    /// address.
     fn remove_expired(&mut self, now: Instant) {
         for endpoint in self.endpoints.values().filter(|endpoint| endpoint.is_listed()) {
             self.destinations.record_listed(endpoint.destination(), now);
--- a/crates/message-sender/src/endpoint_registry/registry/tests.rs
+++ b/crates/message-sender/src/endpoint_registry/registry/tests.rs
@@ -1,4 +1,4 @@
-//! The registry under sequences of lists.
+//! Tests of the registry with sequences of lists.
 
 use super::*;
 
@@ -33,7 +33,8 @@
     EndpointList { version: 1, is_snapshot: true, endpoints }
 }
 
-/// Guards against growth under steady replacement, and against an id that is assigned twice.
+/// Guards against a registry that grows without limit as endpoints are replaced, because departed ones never
+/// expire, and against an id that is reused for another endpoint.
 #[tokio::test(start_paused = true)]
 async fn departed_endpoints_expire_and_ids_are_never_reassigned() {
     let mut registry = registry();
@@ -51,7 +52,7 @@
     assert_eq!(update.entries[0].endpoint, first);
 }
 
-/// Guards against endpoints and connections that outlive a snapshot which does not name them.
+/// Guards against endpoints and idle connections that are kept after a snapshot which does not name them.
 #[tokio::test(start_paused = true)]
 async fn a_snapshot_removes_the_endpoints_that_it_leaves_out() {
     let mut registry = registry();
@@ -69,8 +70,8 @@
     assert_eq!(registry.destination_status(7), DestinationStatus::Known);
 }
 
-/// Guards against a successor process that takes endpoints for new ones, or forgets what its predecessor
-/// knew.
+/// Guards against a successor process that treats known endpoints as new ones, or loses other state of its
+/// predecessor, because the handover leaves it out.
 #[tokio::test(start_paused = true)]
 async fn a_restored_registry_continues_from_its_snapshot() {
     let mut predecessor = registry();
--- a/crates/message-sender/src/endpoint_registry/snapshot.rs
+++ b/crates/message-sender/src/endpoint_registry/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of a registry as a process hands it over to its successor, so that endpoints keep their ids.
+//! The state of a registry that a process hands over to its successor, so that endpoints keep their ids.
 
 use std::net::SocketAddr;
 
@@ -13,27 +13,27 @@
 pub struct RegistrySnapshot {
     /// All registered endpoints, in no particular order.
     pub(super) endpoints: Vec<EndpointRecord>,
-    /// All ids that are assigned.
+    /// All assigned ids.
     pub(super) ids: EndpointIds,
-    /// The destinations that exist.
+    /// The destinations that have endpoints or had some recently.
     pub(super) destinations: Vec<DestinationId>,
-    /// A complete list from discovery is known.
+    /// Whether a complete list from discovery is known.
     pub(super) is_complete: bool,
 }
 
 /// A registered endpoint.
 #[derive(Serialize, Deserialize)]
 pub(super) struct EndpointRecord {
-    /// The id that it keeps.
+    /// The id, which the endpoint keeps in the successor.
     pub id: EndpointId,
-    /// The name that lists identify it by.
+    /// The name that identifies the endpoint in lists.
     pub name: String,
-    /// Where it accepts calls.
+    /// The address at which it accepts calls.
     pub address: SocketAddr,
-    /// The route that its calls share a Retry-After with.
+    /// The route that it belongs to; a Retry-After applies to all calls of a route.
     pub route: Route,
     /// Index of its zone; one past the end if the settings do not contain the zone.
     pub zone: usize,
-    /// It is no longer listed.
+    /// Whether it is no longer listed.
     pub has_departed: bool,
 }
--- a/crates/message-sender/src/invariants.rs
+++ b/crates/message-sender/src/invariants.rs
@@ -1,7 +1,8 @@
-//! Counts and logs violations of the rules that no sender may break.
+//! Counts and logs violations of the invariants that every sender must keep.
 //!
-//! The checks are made by [`delivery_control::AttemptGuard`] and where a connection or the process ends. Each
-//! violation is a fault of the program and has a line in the log, but for a flood of them.
+//! The checks are made by [`delivery_control::AttemptGuard`] and where a connection or the process ends.
+//! Each violation is a bug in the program. Each is logged, up to a limit that keeps a flood of them out of
+//! the log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -11,35 +12,35 @@
 
 use crate::metrics::{increment, Metrics};
 
-/// Lines that one process logs at most; the metric counts on.
+/// Maximum number of violations that one process logs; the metric counts all.
 const MAX_LOG_LINES: u64 = 100;
 
-/// Counts violations, each of a message once.
+/// Counts violations of invariants; a repeated violation of one invariant by the same message counts once.
 pub struct InvariantMonitor {
     metrics: Rc<Metrics>,
     reported: RefCell<BTreeSet<(Invariant, MessageId)>>,
-    lines: Cell<u64>,
+    logged_lines: Cell<u64>,
 }
 
 impl InvariantMonitor {
-    /// A monitor that counts in these metrics.
+    /// A monitor that counts violations in these metrics.
     pub fn new(metrics: Rc<Metrics>) -> Rc<Self> {
-        Rc::new(Self { metrics, reported: RefCell::default(), lines: Cell::new(0) })
+        Rc::new(Self { metrics, reported: RefCell::default(), logged_lines: Cell::new(0) })
     }
 
-    /// Reports that the rule was broken for a message.
+    /// Reports that an invariant was violated for a message.
     pub fn report(&self, invariant: Invariant, message_id: MessageId) {
         if self.reported.borrow_mut().insert((invariant, message_id)) {
             self.count(invariant, Some(message_id));
         }
     }
 
-    /// Reports that the rule was broken, of no message in particular.
+    /// Reports a violation that concerns a connection and no particular message.
     pub fn report_connection(&self, invariant: Invariant) {
         self.count(invariant, None);
     }
 
-    /// Forgets a message that has ended: its id does not come again.
+    /// Forgets the violations of a message that has ended: its id is never used again.
     pub fn forget(&self, message_id: MessageId) {
         let mut reported = self.reported.borrow_mut();
         if !reported.is_empty() {
@@ -49,8 +50,8 @@
 
     fn count(&self, invariant: Invariant, message_id: Option<MessageId>) {
         increment(&self.metrics.invariant_violations);
-        if self.lines.get() < MAX_LOG_LINES {
-            increment(&self.lines);
+        if self.logged_lines.get() < MAX_LOG_LINES {
+            increment(&self.logged_lines);
             tracing::error!(?invariant, ?message_id, "invariant violated");
         }
     }
--- a/crates/message-sender/src/metrics.rs
+++ b/crates/message-sender/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics that operators fetch, in the form of statsd. Each is counted where the thing happens; all
-//! start at 0 with the process.
+//! The metrics that operators fetch, in statsd format. Each is updated where its event is handled; all
+//! start at 0 when the process starts.
 
 use std::cell::Cell;
 use std::fmt::Write;
@@ -10,15 +10,15 @@
 /// How a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageOutcome {
-    /// Delivered.
+    /// An endpoint accepted the message.
     Delivered,
-    /// Rejected, at once or after it was accepted: submitting it again is harmless.
+    /// Rejected, at submission or after it was accepted; submitting it again is harmless.
     Rejected,
-    /// Given up; it may or may not have taken effect.
+    /// Given up; the message may or may not have taken effect.
     Failed,
 }
 
-/// How many messages of a class ended in each way.
+/// Number of messages of one class with each outcome.
 #[derive(Default)]
 struct ClassMetrics {
     name: String,
@@ -27,35 +27,35 @@
     failed: Cell<u64>,
 }
 
-/// Counters and gauges of this process.
+/// The counters and gauges of this process.
 #[derive(Default)]
 pub struct Metrics {
     classes: Vec<ClassMetrics>,
-    /// Attempts of which the whole request was written to an endpoint.
+    /// Attempts whose request was written to an endpoint in full.
     pub attempts: Rc<Cell<u64>>,
-    /// Messages that are buffered or whose notice is not acknowledged.
+    /// Messages that have not ended, or whose notice is not acknowledged.
     pub in_progress: Cell<usize>,
     /// Endpoints in the endpoint list.
     pub known_endpoints: Cell<usize>,
-    /// Endpoints that get no attempts at present.
+    /// Listed endpoints that get no attempts at present.
     pub skipped_endpoints: Cell<usize>,
-    /// Rules that this process found broken; other than 0 only by a fault of the program.
+    /// Violations of invariants that this process detected; other than 0 only if the program has a bug.
     pub invariant_violations: Cell<u64>,
 }
 
-/// Adds one.
+/// Adds one to a counter.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 impl Metrics {
-    /// Metrics of these classes, all 0.
+    /// Metrics for the classes in `names`, all 0.
     pub fn new(names: &Names) -> Self {
         let class = |name: &String| ClassMetrics { name: name.clone(), ..ClassMetrics::default() };
         Self { classes: names.classes().iter().map(class).collect(), ..Self::default() }
     }
 
-    /// Counts a message's end; a class that the settings don't list is not counted.
+    /// Counts the outcome of a message; a message of a class that the settings don't list is not counted.
     pub fn count_outcome(&self, class: usize, outcome: MessageOutcome) {
         let Some(class) = self.classes.get(class) else { return };
         let counter = match outcome {
@@ -66,7 +66,7 @@
         increment(counter);
     }
 
-    /// All metrics, one a line, under the names that operators know them by.
+    /// All metrics, one per line, under the names that operators use.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for class in &self.classes {
@@ -84,11 +84,11 @@
 }
 
 fn append_counter(text: &mut String, name: &str, value: u64) {
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(text, "router.{name}:{value}|c");
 }
 
 fn append_gauge(text: &mut String, name: &str, value: usize) {
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(text, "router.{name}:{value}|g");
 }
