--- a/crates/message-sender/src/endpoint_registry/registry.rs
+++ b/crates/message-sender/src/endpoint_registry/registry.rs
@@ -50,11 +50,12 @@
 /// What the controller and the connection pool need to know about a list that was applied.
 pub struct RegistryUpdate {
     /// How the entries are to be read.
-    pub update: UpdateKind,
+    pub update_kind: UpdateKind,
     /// The list's entries, with the controller's ids and indices.
     pub entries: Vec<EndpointEntry>,
-    /// Endpoints whose idle connections are of no more use.
-    pub departed: Vec<EndpointId>,
+    /// Endpoints that have departed, are draining or have moved to another address: their idle connections
+    /// can no longer be used.
+    pub invalidated: Vec<EndpointId>,
 }
 
 /// All endpoints that are listed or were until recently, and the destinations that they belong to.
@@ -179,22 +180,22 @@
         self.apply(list, list.update_kind())
     }
 
-    fn apply(&mut self, list: &EndpointList, update: UpdateKind) -> RegistryUpdate {
+    fn apply(&mut self, list: &EndpointList, update_kind: UpdateKind) -> RegistryUpdate {
         let now = Instant::now();
         let mut entries = Vec::with_capacity(list.endpoints.len());
-        let mut departed = Vec::new();
+        let mut invalidated = Vec::new();
         for listed in &list.endpoints {
             let entry = self.entry(listed);
             if self.register(&entry, listed, now) {
-                departed.push(entry.endpoint);
+                invalidated.push(entry.endpoint);
             }
             entries.push(entry);
         }
-        if update != UpdateKind::Delta {
-            self.mark_unlisted_departed(&entries, now, &mut departed);
+        if update_kind != UpdateKind::Delta {
+            self.mark_unlisted_departed(&entries, now, &mut invalidated);
         }
         self.remove_expired(now);
-        RegistryUpdate { update, entries, departed }
+        RegistryUpdate { update_kind, entries, invalidated }
     }
 
     /// The controller's entry for a listed endpoint, with an id that is assigned if the endpoint has none.
@@ -232,19 +233,19 @@
         Route { destination: entry.destination, endpoint: per_endpoint.then_some(entry.endpoint) }
     }
 
-    /// Marks the endpoints that are missing from a complete list as departed: they have departed without an
-    /// entry that says so.
+    /// Marks the endpoints that are missing from a complete list as departed, and adds them to `invalidated`:
+    /// they have departed without an entry that says so.
     fn mark_unlisted_departed(
         &mut self,
         entries: &[EndpointEntry],
         now: Instant,
-        departed: &mut Vec<EndpointId>,
+        invalidated: &mut Vec<EndpointId>,
     ) {
         let listed_ids: HashSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         for (id, endpoint) in &mut self.endpoints {
             if endpoint.is_listed() && !listed_ids.contains(id) {
                 endpoint.departed_at = Some(now);
-                departed.push(*id);
+                invalidated.push(*id);
             }
         }
     }
--- a/crates/message-sender/src/endpoint_registry/registry/tests.rs
+++ b/crates/message-sender/src/endpoint_registry/registry/tests.rs
@@ -62,8 +62,8 @@
     assert_eq!(registry.destination_status(7), DestinationStatus::Known);
     assert_eq!(registry.destination_status(8), DestinationStatus::Unknown);
     let update = registry.apply_update(&snapshot(vec![listed("s-2", ListedStatus::Up)]));
-    assert_eq!(update.update, UpdateKind::Snapshot);
-    assert_eq!(update.departed, vec![departed]);
+    assert_eq!(update.update_kind, UpdateKind::Snapshot);
+    assert_eq!(update.invalidated, vec![departed]);
     tokio::time::advance(DEPARTED_RETENTION).await;
     registry.apply_update(&delta(Vec::new()));
     assert!(registry.get(departed).is_none());
--- a/crates/message-sender/src/event_loop/events.rs
+++ b/crates/message-sender/src/event_loop/events.rs
@@ -94,9 +94,13 @@
     /// Reports an endpoint list to the controller. Endpoints that were removed, are draining or have moved to
     /// another address get no more of the attempts that were decided on before.
     pub(super) fn report_endpoints(&mut self, version: u64, update: RegistryUpdate) {
-        for endpoint in update.departed {
+        for endpoint in update.invalidated {
             self.delivery.drain(endpoint);
         }
-        self.events.push(Event::EndpointsUpdated { update: update.update, version, entries: update.entries });
+        self.events.push(Event::EndpointsUpdated {
+            update: update.update_kind,
+            version,
+            entries: update.entries,
+        });
     }
 }
