--- a/crates/message-sender/tests/support/configuration.rs
+++ b/crates/message-sender/tests/support/configuration.rs
@@ -4,19 +4,19 @@
 
 use serde_json::{json, Value};
 
-/// Whether messages may be repeated once they may have taken effect.
+/// Whether a message that may have taken effect may be sent again.
 #[derive(Debug, Clone, Copy)]
 pub enum Idempotency {
-    /// Without more ado.
+    /// It may always be sent again.
     Always,
-    /// Under their idempotency key.
+    /// It may be sent again with its idempotency key, within the idempotency window.
     WithKey,
-    /// Not at all.
+    /// It must not be sent again.
     Never,
 }
 
 impl Idempotency {
-    /// The name in the configuration file.
+    /// The value of `effect` in the configuration file.
     fn effect(self) -> &'static str {
         match self {
             Self::Always => "pure",
@@ -26,22 +26,22 @@
     }
 }
 
-/// Settings that differ between tests.
+/// Settings in which tests differ.
 #[derive(Clone)]
 pub struct SenderOptions {
-    /// Disk space for the journal.
+    /// Disk space for the journal, in megabytes.
     pub disk_mb: f64,
-    /// Whether messages may be repeated.
+    /// Whether messages that may have taken effect may be sent again.
     pub idempotency: Idempotency,
-    /// Limit of open descriptors.
+    /// Limit of open file descriptors, in the configuration and for the process.
     pub max_descriptors: usize,
-    /// Number of senders.
+    /// Number of senders in the deployment.
     pub sender_count: u32,
-    /// Number of messages that the buffer takes.
+    /// Largest number of messages in the buffer.
     pub buffer_capacity: usize,
-    /// Messages about one subject keep their order.
+    /// Whether messages about one subject keep their order.
     pub is_ordered: bool,
-    /// Name of the only tenant.
+    /// Name of the only tenant in the configuration.
     pub tenant: &'static str,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The configuration with these options, discovery server and built-in endpoint list.
+/// The configuration with these options, this discovery address and this built-in endpoint list.
 pub fn configuration(options: &SenderOptions, discovery: SocketAddr, known_endpoints: Vec<Value>) -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
--- a/crates/message-sender/tests/support/discovery.rs
+++ b/crates/message-sender/tests/support/discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery server: it serves the endpoint list, holds watches until the list changes, and takes notices.
+//! A simulated discovery server: it serves the endpoint list, holds watches until the list changes, and
+//! accepts notices.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,43 +12,47 @@
 use super::http::{read_message, HttpMessage};
 use super::TIMEOUT;
 
-/// The discovery server.
+/// A running discovery server.
 pub struct Discovery {
-    /// Where it listens.
+    /// Its listening address.
     pub address: SocketAddr,
-    /// The notices that it has acknowledged.
+    /// The notices that it acknowledges.
     pub notices: Receiver<Value>,
-    /// The request line of each watch and each fetch of the list.
+    /// The request line of each request for the list: watches and fetches.
     pub list_requests: Receiver<String>,
     shared: Arc<Shared>,
 }
 
-/// What the threads of the connections share.
+/// State that the threads of all connections share.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
+    /// Notified when the list changes or a post of notices is rejected.
     changed: Condvar,
 }
 
+/// What the server answers, and what it has rejected.
 #[derive(Default)]
 struct State {
     /// Version of the list.
     version: u64,
+    /// The lines of the list.
     endpoints: Vec<Value>,
-    /// So many of the next posts of notices are answered with an error.
+    /// Number of posts of notices that are still to be answered with an error.
     posts_to_reject: u32,
+    /// Number of posts of notices that have been answered with an error.
     rejected_posts: u32,
-    /// Requests for the list get no answer.
+    /// Whether requests for the list get no answer.
     is_unresponsive: bool,
 }
 
 impl Discovery {
-    /// Starts a server with this endpoint list, as version 1.
+    /// Starts a server with this endpoint list as version 1.
     pub fn start(endpoints: Vec<Value>) -> Self {
         Self::start_with(State { version: 1, endpoints, ..State::default() })
     }
 
-    /// Starts a server that takes notices and answers no request for the list.
+    /// Starts a server that accepts notices but does not answer requests for the list.
     pub fn start_unresponsive() -> Self {
         Self::start_with(State { is_unresponsive: true, ..State::default() })
     }
@@ -77,12 +82,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// Answers requests for the list from now on; those received before stay unanswered.
+    /// Answers requests for the list from now on; requests received earlier stay unanswered.
     pub fn start_responding(&self) {
         self.shared.state.lock().unwrap().is_unresponsive = false;
     }
 
-    /// Answers so many of the next posts of notices with an error, in place of an acknowledgement.
+    /// Answers the next `posts` posts of notices with an error instead of an acknowledgement.
     pub fn reject_notices(&self, posts: u32) {
         self.shared.state.lock().unwrap().posts_to_reject = posts;
     }
@@ -92,27 +97,28 @@
         let state = self.shared.state.lock().unwrap();
         let none_rejected = |state: &mut State| state.rejected_posts == 0;
         let (_state, waited) = self.shared.changed.wait_timeout_while(state, TIMEOUT, none_rejected).unwrap();
-        assert!(!waited.timed_out(), "a notice comes");
+        assert!(!waited.timed_out(), "no notice arrived");
     }
 
     /// Waits for the next notice.
     pub fn next_notice(&self) -> Value {
-        self.notices.recv_timeout(TIMEOUT).expect("a notice comes")
+        self.notices.recv_timeout(TIMEOUT).expect("no notice arrived")
     }
 
     /// Waits for the next request for the list.
     pub fn next_list_request(&self) -> String {
-        self.list_requests.recv_timeout(TIMEOUT).expect("a request for the list comes")
+        self.list_requests.recv_timeout(TIMEOUT).expect("no request for the list arrived")
     }
 
-    /// Waits for a watch after this version, by which the sender shows that it has received the version.
+    /// Waits for a watch for changes after this version, which shows that the sender has received the
+    /// version.
     pub fn await_watch_after(&self, version: u64) {
         let parameter = format!("after={version}&");
         while !self.next_list_request().contains(&parameter) {}
     }
 }
 
-/// What the thread of a connection needs.
+/// What the thread of a connection uses.
 #[derive(Clone)]
 struct Connection {
     notices: Sender<Value>,
@@ -140,7 +146,7 @@
         if self.shared.state.lock().unwrap().is_unresponsive {
             return None;
         }
-        // Indented, as lists may come.
+        // Indented, because the sender must accept indented lists too.
         let text = format!("{:#}", self.await_list(&request.start_line));
         Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len()))
     }
@@ -154,12 +160,12 @@
             return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
         }
         for line in request.body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
-            let _ = self.notices.send(serde_json::from_slice(line).expect("a notice is JSON"));
+            let _ = self.notices.send(serde_json::from_slice(line).expect("a notice is not valid JSON"));
         }
         "HTTP/1.1 204 No Content\r\n\r\n"
     }
 
-    /// The list, once its version is not the one that the request names.
+    /// Waits until the list's version differs from the one that the request names, and returns the list.
     fn await_list(&self, request_line: &str) -> Value {
         let known = known_version(request_line);
         let state = self.shared.state.lock().unwrap();
@@ -169,7 +175,7 @@
     }
 }
 
-/// The version after which a watch wants to know of changes; `None` for a fetch of the complete list.
+/// The version that a watch names as known to the sender; `None` for a fetch of the complete list.
 fn known_version(request_line: &str) -> Option<u64> {
     let (_, rest) = request_line.split_once("after=")?;
     rest.split('&').next()?.parse().ok()
--- a/crates/message-sender/tests/support/endpoint.rs
+++ b/crates/message-sender/tests/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that answers calls by a script.
+//! A simulated endpoint that answers calls by a script.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,8 +10,8 @@
 use super::http::{read_message, write_byte_by_byte, HttpMessage};
 use super::TIMEOUT;
 
-/// Header by which a script has the endpoint close the connection after an answer that announces no such
-/// thing.
+/// Header in a scripted answer that makes the endpoint close the connection afterwards, without announcing it
+/// by `Connection: close`.
 const CLOSE_SILENTLY: &str = "X-Then: closes";
 
 /// What an endpoint does with a call.
@@ -19,34 +19,34 @@
 pub enum Reply {
     /// Answers with this status code, reason and header lines, and no body.
     Answer(&'static str),
-    /// Writes these bytes as they are.
+    /// Writes this text unchanged.
     Raw(&'static str),
-    /// Reads the call and closes the connection.
+    /// Closes the connection without an answer.
     CloseConnection,
-    /// Answers nothing and keeps the connection open.
+    /// Sends no answer and keeps the connection open.
     NoAnswer,
-    /// Answers with 200 after this time.
+    /// Answers with 200 after this delay.
     Delayed(Duration),
-    /// Answers with 200, a byte at a time.
+    /// Answers with 200, one byte at a time.
     ByteByByte,
 }
 
-/// The endpoint accepts the message.
+/// The answer that confirms the delivery of a message.
 pub const OK: Reply = Reply::Answer("200 OK\r\n");
 
-/// What an endpoint does once it has replied.
+/// What an endpoint does with a connection after a reply.
 enum Next {
     ReadNextCall,
     CloseConnection,
 }
 
-/// An endpoint that plays a script, one reply per call; the last reply is for all calls that follow.
+/// A running endpoint. Its script has one reply per call; the last one is repeated for all further calls.
 pub struct Endpoint {
-    /// Where it listens.
+    /// Its listening address.
     pub address: SocketAddr,
     /// The calls that it has read.
     pub calls: Receiver<HttpMessage>,
-    /// For each connection that ended, the id of the last message called with on it.
+    /// For each connection that has ended, the id of the message in its last call.
     pub closed_connections: Receiver<String>,
 }
 
@@ -74,23 +74,23 @@
 
     /// Waits for the next call.
     pub fn next_call(&self) -> HttpMessage {
-        self.calls.recv_timeout(TIMEOUT).expect("a call comes")
+        self.calls.recv_timeout(TIMEOUT).expect("no call arrived")
     }
 
-    /// No further call has come so far.
+    /// Whether no further call has arrived so far.
     pub fn has_no_call(&self) -> bool {
         self.calls.try_recv().is_err()
     }
 }
 
-/// Answers the calls of a connection until it ends; returns the id of the last message.
+/// Answers the calls on a connection until it ends; returns the id of the message in the last call.
 fn serve_connection(stream: TcpStream, calls: &Sender<HttpMessage>, script: &Mutex<Vec<Reply>>) -> String {
     let mut stream = BufReader::new(stream);
     let mut last_id = String::new();
     while let Some(call) = read_message(&mut stream) {
         last_id = call.headers.get("x-call-id").cloned().unwrap_or_default();
         let reply = next_reply(script);
-        if let Next::CloseConnection = play(reply, call, stream.get_mut(), calls) {
+        if let Next::CloseConnection = execute_reply(reply, call, stream.get_mut(), calls) {
             break;
         }
     }
@@ -106,7 +106,12 @@
     }
 }
 
-fn play(reply: Reply, call: HttpMessage, stream: &mut TcpStream, calls: &Sender<HttpMessage>) -> Next {
+fn execute_reply(
+    reply: Reply,
+    call: HttpMessage,
+    stream: &mut TcpStream,
+    calls: &Sender<HttpMessage>,
+) -> Next {
     match reply {
         Reply::Answer(head) => {
             let text = format!("HTTP/1.1 {head}Content-Length: 0\r\n\r\n");
@@ -130,8 +135,8 @@
     }
 }
 
-/// Writes an answer, and reports the call after that, so that a test that saw the call may rely on the
-/// answer.
+/// Writes an answer and reports the call only afterwards, so that the answer has been written when a test
+/// sees the call.
 fn answer_and_report(
     text: &str,
     call: HttpMessage,
--- a/crates/message-sender/tests/support/http.rs
+++ b/crates/message-sender/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as they are read off a socket and written to it.
+//! Reading HTTP messages from a socket and writing to it.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -6,31 +6,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long [`write_byte_by_byte`] takes for a text, about.
+/// Approximate time that [`write_byte_by_byte`] takes for a text of any length.
 const BYTE_BY_BYTE_TIME: Duration = Duration::from_millis(200);
 
 /// A request or an answer that was read completely.
 #[derive(Debug, Clone)]
 pub struct HttpMessage {
-    /// The request line or the status line, without its end.
+    /// The request line or the status line, without its line ending.
     pub start_line: String,
-    /// The headers; the names are in lower case.
+    /// The headers, by their names in lower case.
     pub headers: HashMap<String, String>,
-    /// The body, as long as `Content-Length` says.
+    /// The body, of the length that `Content-Length` states.
     pub body: Vec<u8>,
-    /// When it had been read.
+    /// When it had been read completely.
     pub received_at: Instant,
     /// Address of the other end of the connection.
     pub peer: SocketAddr,
 }
 
 impl HttpMessage {
-    /// The id of the message that a call or a submission carries.
+    /// The id of the message in a call or a submission.
     pub fn message_id(&self) -> &str {
         &self.headers["x-call-id"]
     }
 
-    /// The status code of an answer, as it stands in the status line.
+    /// The status code of an answer, as text.
     pub fn status(&self) -> Option<&str> {
         self.start_line.split(' ').nth(1)
     }
@@ -57,7 +57,7 @@
     (length > 0).then(|| line.trim().to_owned())
 }
 
-/// Writes a byte at a time, each in a TCP segment of its own.
+/// Writes a text one byte at a time, with a TCP segment for each byte.
 pub fn write_byte_by_byte(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let pause = BYTE_BY_BYTE_TIME / text.len() as u32;
--- a/crates/message-sender/tests/support/load_client.rs
+++ b/crates/message-sender/tests/support/load_client.rs
@@ -1,4 +1,4 @@
-//! A client that submits messages without end, for load.
+//! A client that generates load by submitting messages continuously.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,43 +13,43 @@
 /// Pause after each submission.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a client saw.
+/// Counts of what a client observed.
 #[derive(Default)]
 pub struct ClientReport {
-    /// Submissions that were accepted.
+    /// Accepted submissions.
     pub accepted: u32,
-    /// Requests that met a connection which was closed while they were in transit.
-    pub disturbed: u32,
-    /// Connections opened.
+    /// Requests without an answer, because the sender closed the connection while they were in transit.
+    pub interrupted: u32,
+    /// Connections that the client opened.
     pub connections: u32,
 }
 
 impl ClientReport {
-    /// Adds what another client saw.
+    /// Adds the counts of another client.
     pub fn add(&mut self, other: &Self) {
         self.accepted += other.accepted;
-        self.disturbed += other.disturbed;
+        self.interrupted += other.interrupted;
         self.connections += other.connections;
     }
 }
 
-/// A client that submits message after message on one connection, and on a new one where that was closed
-/// between requests.
+/// A client that submits messages on one connection, one after the other, and opens a new connection when the
+/// sender has closed the old one.
 pub struct LoadClient {
     address: SocketAddr,
-    /// Number of the client, by which its message ids differ from those of others.
+    /// Number of the client, which makes its message ids differ from those of other clients.
     number: usize,
     connection: Option<BufReader<TcpStream>>,
     report: ClientReport,
 }
 
 impl LoadClient {
-    /// A client of the sender at this address.
+    /// Creates a client of the sender at this address, without connecting.
     pub fn new(address: SocketAddr, number: usize) -> Self {
         Self { address, number, connection: None, report: ClientReport::default() }
     }
 
-    /// Submits messages until `is_over` is set.
+    /// Submits messages until `is_over` is set; returns the counts.
     pub fn run(mut self, is_over: &AtomicBool) -> ClientReport {
         while !is_over.load(Ordering::Relaxed) {
             self.submit_next();
@@ -72,19 +72,19 @@
                 self.report.accepted += 1;
                 self.connection = Some(connection);
             }
-            None => self.report.disturbed += 1,
+            None => self.report.interrupted += 1,
         }
     }
 
     fn connect(&mut self) -> BufReader<TcpStream> {
         self.report.connections += 1;
-        let stream = TcpStream::connect(self.address).expect("no connection is refused");
+        let stream = TcpStream::connect(self.address).expect("the sender refused a connection");
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         BufReader::new(stream)
     }
 }
 
-/// The other end has closed it, which a client sees before it sends the next request.
+/// Whether the sender has closed the connection, which a client can see before it sends the next request.
 fn is_closed(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let read = stream.peek(&mut [0]);
--- a/crates/message-sender/tests/support/management.rs
+++ b/crates/message-sender/tests/support/management.rs
@@ -1,4 +1,4 @@
-//! Operators that call a sender's management listener.
+//! Operator calls to a sender's management listener.
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -9,7 +9,7 @@
 use super::sender_process::SenderProcess;
 use super::TIMEOUT;
 
-/// Interval in which a metric is read while a test waits for its value.
+/// Interval at which a metric is read while a test waits for its value.
 const METRIC_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The answer to an operator's call.
@@ -27,12 +27,16 @@
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let length = body.len();
         let text = format!("{method} {path} HTTP/1.1\r\nHost: m\r\nContent-Length: {length}\r\n\r\n{body}");
-        // The sender may answer and close before it has read all.
+        // The write may fail: the sender may answer and close before it has read the whole request.
         let _ = stream.write_all(text.as_bytes());
         let mut stream = BufReader::new(stream);
-        let answer = read_message(&mut stream).expect("an answer");
-        assert!(read_message(&mut stream).is_none(), "one call a connection");
-        let status = answer.status().expect("a status").parse().expect("a number");
+        let answer = read_message(&mut stream).expect("the sender did not answer");
+        assert!(
+            read_message(&mut stream).is_none(),
+            "the sender did not close the connection after its answer"
+        );
+        let status =
+            answer.status().expect("no status code").parse().expect("the status code is not a number");
         ManagementAnswer { status, body: String::from_utf8(answer.body).unwrap() }
     }
 
@@ -41,11 +45,12 @@
         self.call_management(method, path, body).status
     }
 
-    /// The present value of a metric, by its name without the prefix `router.`.
+    /// The current value of a metric, by its name without the prefix `router.`.
     pub fn metric(&self, name: &str) -> u64 {
         let text = self.call_management("GET", "/status/metrics", "").body;
         let prefix = format!("router.{name}:");
-        let value = text.lines().find_map(|line| line.strip_prefix(&prefix)).expect("the metric is listed");
+        let value =
+            text.lines().find_map(|line| line.strip_prefix(&prefix)).expect("the metric is not listed");
         let (value, _) = value.split_once('|').unwrap_or((value, ""));
         value.parse().unwrap()
     }
@@ -54,7 +59,7 @@
     pub fn await_metric(&self, name: &str, value: u64) {
         let start = Instant::now();
         while self.metric(name) != value {
-            assert!(start.elapsed() < TIMEOUT, "{name} is {}, not {value}", self.metric(name));
+            assert!(start.elapsed() < TIMEOUT, "{name} is {} instead of {value}", self.metric(name));
             thread::sleep(METRIC_POLL_INTERVAL);
         }
     }
--- a/crates/message-sender/tests/support/mod.rs
+++ b/crates/message-sender/tests/support/mod.rs
@@ -1,8 +1,7 @@
-//! What surrounds a sender, played on loopback sockets: the discovery server, endpoints, clients and
-//! operators.
+//! Simulated peers of a sender on loopback sockets: the discovery server, endpoints, clients and operators.
 //!
-//! Each server is a few threads that report what they received over channels.
-#![allow(dead_code, reason = "each test binary uses its own part")]
+//! Each simulated server runs a few threads, which report over channels what they received.
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 pub mod client;
 pub mod configuration;
@@ -17,5 +16,5 @@
 
 use std::time::Duration;
 
-/// Longest wait for anything: only a sender that does the wrong thing ever takes so long.
+/// Upper bound of every wait in the tests; only a faulty sender reaches it.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/message-sender/tests/support/sender_process.rs
+++ b/crates/message-sender/tests/support/sender_process.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process: its start, its log, signals to it, and its end.
+//! The program under test as a process: how it is started, signalled and ended, and how its log is read.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -14,16 +14,16 @@
 use super::discovery::Discovery;
 use super::TIMEOUT;
 
-/// A signal to the process.
+/// A signal to a sender process.
 #[derive(Debug, Clone, Copy)]
 pub enum Signal {
-    /// Read the configuration again.
+    /// Reload the configuration.
     Hangup,
-    /// Drain and end.
+    /// Drain and exit.
     Terminate,
-    /// Drain and end, from the terminal.
+    /// Drain and exit, as on Ctrl-C in a terminal.
     Interrupt,
-    /// End without any chance to react.
+    /// Exit at once; the process cannot handle this signal.
     Kill,
     /// Suspend the process.
     Stop,
@@ -32,7 +32,7 @@
 }
 
 impl Signal {
-    /// The option of `kill` that sends it.
+    /// The option of the `kill` command that selects the signal.
     fn option(self) -> &'static str {
         match self {
             Self::Hangup => "-HUP",
@@ -45,12 +45,12 @@
     }
 }
 
-/// A process of the sender, killed when the value is dropped.
+/// A running sender process, which is killed when the value is dropped.
 pub struct SenderProcess {
     child: Child,
-    /// Where clients connect, once it is ready.
+    /// Address for clients, which is set once the process is ready.
     pub address: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub management: SocketAddr,
     /// Path of the configuration file.
     pub configuration: PathBuf,
@@ -71,7 +71,8 @@
         sender
     }
 
-    /// Starts a process that need not become ready at once; until then it has no address for clients.
+    /// Starts a process without waiting until it is ready. `address` is not valid before
+    /// [`Self::await_ready`].
     pub fn launch(
         state: &Path,
         discovery: &Discovery,
@@ -83,8 +84,9 @@
         std::fs::write(&path, text).unwrap();
         let mut child = spawn(state, &path, options.max_descriptors);
         let log = read_log(child.stderr.take().unwrap());
-        let unknown = "127.0.0.1:0".parse().unwrap();
-        let mut sender = Self { child, address: unknown, management: unknown, configuration: path, log };
+        let placeholder = "127.0.0.1:0".parse().unwrap();
+        let mut sender =
+            Self { child, address: placeholder, management: placeholder, configuration: path, log };
         sender.management = sender.await_logged_address("management=");
         sender
     }
@@ -94,29 +96,29 @@
         self.address = self.await_logged_address("listen=");
     }
 
-    /// Waits for a line of the log that ends with this field, and returns the field's value.
+    /// Waits for a log line that ends with this field, and returns the field's value.
     fn await_logged_address(&self, field: &str) -> SocketAddr {
         loop {
-            let line = self.log.recv_timeout(TIMEOUT).expect("the sender logs the address");
+            let line = self.log.recv_timeout(TIMEOUT).expect("the sender did not log its address");
             if let Some((_, address)) = line.trim().split_once(field) {
-                break address.parse().expect("an address");
+                break address.parse().expect("the logged address is not valid");
             }
         }
     }
 
-    /// Waits for a line of the log with all these words.
+    /// Waits for a log line that contains all these texts.
     pub fn await_log(&self, words: &[&str]) {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
-            let Ok(line) = self.log.recv_timeout(time_left) else { panic!("{words:?} is not logged") };
+            let Ok(line) = self.log.recv_timeout(time_left) else { panic!("no log line contains {words:?}") };
             if words.iter().all(|word| line.contains(word)) {
                 break;
             }
         }
     }
 
-    /// Writes a configuration that names another discovery server, and has the process read it.
+    /// Changes the discovery server in the configuration file, and makes the process reload the file.
     pub fn reload_with_discovery(&self, discovery: &Discovery) {
         let text = std::fs::read(&self.configuration).unwrap();
         let mut configuration: Value = serde_json::from_slice(&text).unwrap();
@@ -125,7 +127,7 @@
         self.signal(Signal::Hangup);
     }
 
-    /// Sends a signal, which takes effect some time after the return.
+    /// Sends a signal; it may take effect only after this function returns.
     pub fn signal(&self, signal: Signal) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([signal.option(), &pid]).status().unwrap();
@@ -138,7 +140,7 @@
         let path = format!("/proc/{}/stat", self.child.id());
         let start = Instant::now();
         while !std::fs::read_to_string(&path).unwrap().contains(") T ") {
-            assert!(start.elapsed() < TIMEOUT, "the sender does not stop");
+            assert!(start.elapsed() < TIMEOUT, "the sender was not suspended");
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -148,17 +150,17 @@
         self.signal(Signal::Continue);
     }
 
-    /// Number of descriptors that the process has open.
+    /// Number of file descriptors that the process has open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -172,7 +174,7 @@
     }
 }
 
-/// Starts the program, with its limit of descriptors enforced by the system too.
+/// Starts the program, with its limit of file descriptors also enforced by the kernel.
 fn spawn(state: &Path, configuration: &Path, max_descriptors: usize) -> Child {
     let command = format!("ulimit -n {max_descriptors} && exec \"$0\"");
     Command::new("sh")
@@ -182,16 +184,16 @@
         .env("ROUTER_MANAGEMENT", "127.0.0.1:0")
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the sender starts")
+        .expect("the sender could not be started")
 }
 
-/// Reads the log to its end, lest the sender block on a full pipe.
+/// Reads the log until it ends, so that the sender never blocks on a full pipe.
 fn read_log(stderr: ChildStderr) -> Receiver<String> {
     let (line_sender, lines) = channel();
     thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
             eprintln!("{line}");
-            // Once the test has dropped the receiver, lines are still read.
+            // The log is read on even when the test has dropped the receiver.
             let _ = line_sender.send(line);
         }
     });
--- a/crates/message-sender/tests/upgrade.rs
+++ b/crates/message-sender/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a successor process beside its predecessor, and the death of either at each step.
+//! Upgrades: a successor process takes over from its predecessor, and either may die or stall at each step.
 
 mod support;
 
@@ -19,8 +19,8 @@
 use support::sender_process::Signal;
 use support::TIMEOUT;
 
-/// Guards against a pause, a refused connection, a lost message and a message sent by both processes, upgrade
-/// after upgrade under load.
+/// Guards against a pause, a refused connection, a lost message or a message that both processes send, in
+/// several consecutive upgrades under load.
 #[test]
 fn new_versions_take_over_under_load() {
     const CLIENTS: usize = 4;
@@ -46,13 +46,17 @@
     is_over.store(true, Ordering::Relaxed);
     let mut total = ClientReport::default();
     for client in clients {
-        total.add(&client.join().expect("the client's requests were answered"));
+        total.add(&client.join().expect("the client thread panicked"));
     }
-    assert!(total.accepted > 100, "{} messages are no load", total.accepted);
-    assert!(total.disturbed <= 6, "{} requests met a closed connection in three upgrades", total.disturbed);
+    assert!(total.accepted > 100, "only {} messages were accepted, which is too little load", total.accepted);
     assert!(
-        total.connections <= 4 * 4 + total.disturbed,
-        "{} connections of four clients",
+        total.interrupted <= 6,
+        "{} requests met a closed connection in three upgrades",
+        total.interrupted
+    );
+    assert!(
+        total.connections <= 4 * 4 + total.interrupted,
+        "four clients opened {} connections",
         total.connections
     );
     sender.await_metric("in_progress", 0);
@@ -65,7 +69,7 @@
     assert!(environment.discovery.notices.try_recv().is_err());
 }
 
-/// Guards against a call that is cut off by an upgrade, and against messages that overtake one of their
+/// Guards against an upgrade that cuts off a call, and against a message that overtakes another one about its
 /// subject which the predecessor still has in flight.
 #[test]
 fn call_of_the_predecessor_is_completed_and_keeps_its_place_in_order() {
@@ -94,7 +98,7 @@
     assert!(environment.endpoint.has_no_call() && environment.discovery.notices.try_recv().is_err());
 }
 
-/// Guards against a Retry-After that an upgrade ends, and endpoints in maintenance that it restores.
+/// Guards against an upgrade that ends a Retry-After early or restores endpoints in maintenance.
 #[test]
 fn retry_after_and_maintenance_survive_an_upgrade() {
     let environment = Environment::new(vec![Reply::Answer("429 Busy\r\nX-Come-Back-Ms: 2500\r\n"), OK]);
@@ -118,7 +122,7 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m3");
 }
 
-/// Guards against a request that is lost because the process which read part of it has handed over.
+/// Guards against losing a request because the process that has read part of it hands over.
 #[test]
 fn request_partially_read_by_the_predecessor_is_answered() {
     let environment = Environment::new(vec![OK]);
@@ -127,18 +131,19 @@
     let (first_part, second_part) = text.as_bytes().split_at(60);
     let mut connection = predecessor.connect();
     connection.write_all(first_part).unwrap();
-    // Read, so that the connection is not one between requests.
+    // Time for the predecessor to read the first part, so that the connection does not count as idle.
     thread::sleep(Duration::from_millis(200));
     let successor = environment.start_sender();
     assert_eq!(predecessor.management_status("GET", "/status", ""), 503);
     connection.write_all(second_part).unwrap();
-    let answer = read_message(&mut BufReader::new(connection)).expect("an answer");
+    let answer = read_message(&mut BufReader::new(connection)).expect("the sender did not answer");
     assert_eq!(answer.start_line, ACCEPTED);
     successor.await_metric("passed.notice", 1);
     assert!(predecessor.wait().success());
 }
 
-/// Guards against a predecessor that gives up, or stalls, for a successor that dies on the way.
+/// Guards against a predecessor that stops serving or stalls because a successor dies or stalls before the
+/// commit.
 #[test]
 fn predecessor_continues_when_the_successor_dies_or_stalls_before_the_commit() {
     let environment = Environment::new(vec![OK]);
@@ -157,12 +162,12 @@
         assert_eq!(environment.endpoint.next_call().message_id(), id);
     }
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
-    // An abandoned successor must not take over late: the commit never comes.
+    // A successor that has been abandoned must not take over later: it gets no commit.
     stalling.assert_abandoned();
     assert_eq!(predecessor.management_status("GET", "/status", ""), 200);
 }
 
-/// Guards against messages that nobody sends once the successor has died right after the commit.
+/// Guards against messages that neither process sends because the successor dies right after the commit.
 #[test]
 fn predecessor_resumes_when_the_successor_dies_after_the_commit() {
     let environment = Environment::new(vec![Reply::NoAnswer, OK]);
@@ -180,19 +185,19 @@
     assert_eq!(
         environment.endpoint.closed_connections.recv_timeout(TIMEOUT).unwrap(),
         "m1",
-        "the first call has ended"
+        "the first call was not cancelled"
     );
     predecessor.await_log(&["ready"]);
     assert_eq!(predecessor.management_status("GET", "/status", ""), 200);
     assert_eq!(predecessor.submit("m2", 20_000, "x"), ACCEPTED);
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
-    // And it can still hand over.
+    // The predecessor can still hand over to another successor.
     let successor = environment.start_sender();
     assert_eq!(successor.submit("m3", 20_000, "x"), ACCEPTED);
 }
 
-/// Guards against two active senders beside a predecessor that hangs, and against one that waits for a dead
-/// one.
+/// Guards against a successor that becomes active while a stalled predecessor still is, and against one that
+/// keeps waiting for a predecessor that has died.
 #[test]
 fn successor_waits_for_a_stalled_predecessor_and_takes_over_from_a_dead_one() {
     let environment = Environment::new(vec![Reply::NoAnswer, OK]);
@@ -211,7 +216,8 @@
     assert_eq!(successor.management_status("GET", "/status", ""), 200);
 }
 
-/// Guards against calls whose end nobody learns of: the predecessor is killed with a call in flight.
+/// Guards against calls whose outcome is never learned because the predecessor is killed after the handover
+/// with a call still in flight.
 #[test]
 fn calls_in_flight_at_the_death_of_the_predecessor_are_reset() {
     for (idempotency, is_retried) in [(Idempotency::WithKey, true), (Idempotency::Never, false)] {
@@ -235,8 +241,8 @@
     }
 }
 
-/// Guards against a version that misreads the state of its predecessor: it reads the journal, once that has
-/// drained.
+/// Guards against a successor that misreads the state of a predecessor with other names in its configuration:
+/// it must use the journal alone, once the predecessor has drained.
 #[test]
 fn incompatible_version_restores_from_the_journal_alone() {
     let environment = Environment::new(vec![Reply::NoAnswer, OK]);
@@ -250,7 +256,7 @@
         environment.launch_sender(&SenderOptions { tenant: "other", ..SenderOptions::default() });
     predecessor.await_log(&["draining for a successor that reads only the journal"]);
     assert_eq!(predecessor.management_status("GET", "/status", ""), 503);
-    assert!(read_message(&mut idle).is_none(), "client connections are closed between requests");
+    assert!(read_message(&mut idle).is_none(), "the idle client connection was not closed");
     assert!(predecessor.wait().success());
     successor.await_ready();
     assert_eq!(successor.address, predecessor.address);
