--- a/crates/message-sender/tests/configuration_reload.rs
+++ b/crates/message-sender/tests/configuration_reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while the process runs.
+//! Reloading the configuration while the process runs.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use support::environment::Environment;
 use support::sender_process::Signal;
 
-/// Guards against a process that ends on SIGHUP, a watch that continues with the old server's version, and a
-/// list of the old server that undoes one of the new.
+/// Guards against a process that exits on SIGHUP, a watch of the new server that names the old server's list
+/// version, and a late list from the old server that overwrites the new server's list.
 #[test]
 fn watch_moves_to_the_new_address_with_a_snapshot() {
     let environment = Environment::new(vec![OK]);
@@ -22,7 +22,7 @@
     sender.reload_with_discovery(&new);
     assert_eq!(new.next_list_request(), "GET /v1/servers HTTP/1.1");
     new.await_watch_after(1);
-    // The old server still holds the sender's watch, and answers it late.
+    // The old server still holds the sender's watch and answers it only now.
     old.publish(vec![
         endpoint_line("s-1", first.address, 7, "up"),
         endpoint_line("s-2", second.address, 7, "removed"),
@@ -34,7 +34,7 @@
     assert!(first.has_no_call());
 }
 
-/// Guards against an invalid file that takes discovery away.
+/// Guards against a reload of an invalid or missing configuration file that ends the watch of discovery.
 #[test]
 fn unreadable_configuration_changes_nothing() {
     let environment = Environment::new(vec![OK]);
@@ -55,7 +55,7 @@
     assert_eq!(other.next_call().message_id(), "m1");
 }
 
-/// Guards against notices that continue to be sent to a server that has departed.
+/// Guards against sending notices to the old discovery server after a reload has replaced it.
 #[test]
 fn unacknowledged_notices_go_to_the_new_address() {
     let environment = Environment::new(vec![Reply::NoAnswer]);
--- a/crates/message-sender/tests/handover_compatibility.rs
+++ b/crates/message-sender/tests/handover_compatibility.rs
@@ -1,6 +1,7 @@
-//! Upgrades from, and downgrades to, the version that speaks handover protocol 2, played from frames and a
-//! journal which that version wrote (`tests/data/handover`). Its state frame cannot be read here, so the
-//! journal alone passes from one process to the other, and no message may be lost on the way.
+//! Upgrades from, and downgrades to, the version that speaks handover protocol 2, simulated with frames and a
+//! journal that were recorded from that version (`tests/data/handover`). The current version cannot read the
+//! recorded state frame, so only the journal passes from one process to the other, and no message may be
+//! lost.
 
 mod support;
 
@@ -26,36 +27,42 @@
 use support::sender_process::SenderProcess;
 use support::TIMEOUT;
 
-// Frames with their length in front, as the earlier version wrote them.
+// Frames that the earlier version wrote, each preceded by its length.
 const HELLO: &[u8] = include_bytes!("data/handover/hello.bin");
 const HELLO_JOURNAL_ONLY: &[u8] = include_bytes!("data/handover/hello-journal-only.bin");
 const OFFER_WITH_STATE: &[u8] = include_bytes!("data/handover/offer-with-state.bin");
 const OFFER_WITHOUT_STATE: &[u8] = include_bytes!("data/handover/offer-without-state.bin");
 const PREPARED: &[u8] = include_bytes!("data/handover/prepared.bin");
 const COMMIT: &[u8] = include_bytes!("data/handover/commit.bin");
-/// The journal as it was when `OFFER_WITH_STATE` was written.
+/// The journal at the time when `OFFER_WITH_STATE` was written.
 const JOURNAL: &[u8] = include_bytes!("data/handover/journal.bin");
 
+/// Protocol version of the recorded frames.
 const EARLIER_PROTOCOL: u32 = 2;
+/// Protocol version of the program under test.
 const CURRENT_PROTOCOL: u32 = 3;
-/// The journal was written under a clock a century ahead, so that its messages are in time whenever a test
-/// runs. Only a class whose messages are idempotent without a key may repeat an attempt that seems to lie in
-/// the future.
+/// Lets the recorded ambiguous attempt be repeated. The journal was recorded with a clock a century ahead, so
+/// that its messages are within their deadlines whenever a test runs. An attempt that seems to lie in the
+/// future may be repeated only in a class whose messages are idempotent without a key.
 const IDEMPOTENT: Idempotency = Idempotency::Always;
-/// The class of the recorded messages.
+/// The idempotency of the class under which the messages were recorded.
 const WITH_IDEMPOTENCY_KEY: Idempotency = Idempotency::WithKey;
-/// Goes with the listening socket.
+/// The byte to which the predecessor attaches its listening socket.
 const LISTENER_MARK: u8 = b'L';
-/// Long enough for a process that does the wrong thing to do it.
+/// How long a test waits before it checks that nothing more happens; a faulty process would act within it.
 const SETTLING_TIME: Duration = Duration::from_millis(300);
 
-/// Destination 7 has one endpoint; destination 8 has two, the second of which the journal knows as drained.
+/// A state directory, a discovery server, one endpoint of destination 7 and two of destination 8. In the
+/// recorded journal the second endpoint of destination 8 is drained.
 struct Fixture {
     _folder: tempfile::TempDir,
     state: PathBuf,
     discovery: Discovery,
+    /// `s-1`, the only endpoint of destination 7.
     single: Endpoint,
+    /// `s-2` of destination 8, which rejected m2 in the recorded journal.
     busy: Endpoint,
+    /// `s-3` of destination 8, which is drained in the recorded journal.
     drained: Endpoint,
 }
 
@@ -102,8 +109,9 @@
         self.single.has_no_call() && self.busy.has_no_call() && self.drained.has_no_call()
     }
 
-    /// The recorded journal holds m1 with an ambiguous attempt, m2 that was rejected with a Retry-After, m3
-    /// and m4 without an attempt, the pending notice of m0, and the drained endpoint s-3.
+    /// Checks that the successor resumes all that the recorded journal holds: m1 with an ambiguous attempt,
+    /// m2 that was rejected with a Retry-After, m3 and m4 without an attempt, the pending notice of m0, and
+    /// the drained endpoint s-3.
     fn assert_everything_in_the_journal_is_resumed(&self, successor: &SenderProcess) {
         let ambiguous = self.single.next_call();
         assert_eq!(ambiguous.headers["x-call-id"], "m1");
@@ -124,32 +132,32 @@
         assert_eq!(buffered, BTreeMap::from(expected));
     }
 
-    /// The messages that so many notices call failed.
+    /// Waits for `count` notices, checks that each reports a failure, and returns their message ids, sorted.
     fn notified_failures(&self, count: usize) -> Vec<String> {
         let mut failed: Vec<String> = (0..count)
             .map(|_| {
                 let notice = self.discovery.next_notice();
                 assert_eq!(notice["result"], "dead", "{notice}");
-                notice["ref"].as_str().expect("a notice names its message").to_owned()
+                notice["ref"].as_str().expect("the notice does not name its message").to_owned()
             })
             .collect();
         failed.sort();
         failed
     }
 
-    /// So many messages were delivered, none is left, and none has two outcomes.
+    /// Checks that `delivered` messages were delivered, none is left, and none has two outcomes.
     fn assert_settled(&self, successor: &SenderProcess, delivered: u64) {
         successor.await_metric("passed.notice", delivered);
         successor.await_metric("in_progress", 0);
         assert_eq!(successor.metric("skipped_endpoints"), 1);
         thread::sleep(SETTLING_TIME);
-        assert!(self.has_no_call(), "a message went twice, or to a drained endpoint");
+        assert!(self.has_no_call(), "a message was sent twice or to a drained endpoint");
         assert!(self.discovery.notices.try_recv().is_err(), "a message has two outcomes");
     }
 }
 
-/// Stands for a process of the earlier version that is the sender: it owns the lock, the recorded journal and
-/// the clients' listening socket.
+/// Simulates a process of the earlier version that is the active sender: it holds the lock, the recorded
+/// journal and the clients' listening socket.
 struct EarlierPredecessor {
     lock: File,
     handover: UnixListener,
@@ -164,7 +172,7 @@
         let handover = UnixListener::bind(state.join("handover")).unwrap();
         handover.set_nonblocking(true).unwrap();
         let clients = TcpListener::bind("127.0.0.1:0").unwrap();
-        // As an asynchronous process has it, and its successor needs it.
+        // A real predecessor has it non-blocking, and the successor relies on that.
         clients.set_nonblocking(true).unwrap();
         Self { lock, handover, clients }
     }
@@ -183,10 +191,10 @@
                     return stream;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    assert!(since.elapsed() < TIMEOUT, "a successor connects");
+                    assert!(since.elapsed() < TIMEOUT, "no successor connected");
                     thread::sleep(Duration::from_millis(1));
                 }
-                Err(error) => panic!("the handover socket fails: {error}"),
+                Err(error) => panic!("accepting on the handover socket failed: {error}"),
             }
         }
     }
@@ -200,7 +208,7 @@
         stream.write_all(offer).unwrap();
     }
 
-    /// Ends as a process does: the kernel closes its sockets and frees its lock.
+    /// Ends as a process does: its sockets are closed and its lock is released.
     fn end(self) {
         let Self { lock, handover, clients } = self;
         drop(handover);
@@ -209,7 +217,7 @@
     }
 }
 
-/// Reads a frame with its length in front.
+/// Reads a frame; returns its length prefix and its payload.
 fn read_frame(stream: &mut UnixStream) -> Vec<u8> {
     let mut frame = vec![0; 4];
     stream.read_exact(&mut frame).unwrap();
@@ -225,7 +233,7 @@
     [&length[..], &payload].concat()
 }
 
-/// Reads what precedes an offer: the mark, and the listening socket that comes with it.
+/// Reads what precedes an offer: the marker byte and the listening socket that is attached to it.
 fn receive_listener(stream: &UnixStream) -> TcpListener {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
@@ -236,48 +244,53 @@
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    descriptors.next().expect("a descriptor comes with the mark").into()
+    descriptors.next().expect("no descriptor is attached to the marker byte").into()
 }
 
-/// The successor ended the conversation and said nothing more.
+/// Checks that the successor closes the connection without sending anything more.
 fn assert_closed(mut stream: UnixStream) {
-    assert_eq!(stream.read(&mut [0; 8]).unwrap(), 0, "the successor prepared to take the state over");
+    assert_eq!(stream.read(&mut [0; 8]).unwrap(), 0, "the successor accepted the state");
 }
 
-/// Until the earlier process has ended its successor neither serves nor sends.
+/// Checks that the successor neither serves nor sends while its predecessor still runs.
 fn assert_waits(fixture: &Fixture, successor: &SenderProcess) {
     thread::sleep(SETTLING_TIME);
     assert_eq!(successor.management_status("GET", "/status", ""), 503);
     assert!(fixture.has_no_call());
 }
 
-/// The stand-ins below rest on this.
+/// Guards against recorded frames of another protocol version, with which the tests below would not cover the
+/// earlier version.
 #[test]
 fn the_recorded_frames_speak_the_earlier_protocol() {
     assert_eq!(HELLO, hello(EARLIER_PROTOCOL));
     assert!(OFFER_WITH_STATE.len() > 100 * OFFER_WITHOUT_STATE.len());
 }
 
-/// Guards against messages that are lost in an upgrade from the earlier version, which offers no state to a
-/// version it does not know, drains and ends.
+/// Guards against losing messages in an upgrade from the earlier version, which offers no state to a
+/// successor of a version that it does not know, but drains and exits.
 #[test]
 fn an_upgrade_from_the_earlier_version_resumes_from_its_journal() {
     let fixture = Fixture::new(vec![OK]);
     let predecessor = EarlierPredecessor::start(&fixture.state);
     let mut successor = fixture.launch(IDEMPOTENT);
     let mut stream = predecessor.accept();
-    assert_eq!(read_frame(&mut stream), hello(CURRENT_PROTOCOL), "another version than the earlier one's");
+    assert_eq!(
+        read_frame(&mut stream),
+        hello(CURRENT_PROTOCOL),
+        "the successor announces another protocol version"
+    );
     predecessor.offer(&mut stream, OFFER_WITHOUT_STATE);
     assert_waits(&fixture, &successor);
     let address = predecessor.address();
     predecessor.end();
     successor.await_ready();
-    assert_eq!(successor.address, address, "clients find the successor where its predecessor was");
+    assert_eq!(successor.address, address, "the successor listens on another address than its predecessor");
     fixture.assert_everything_in_the_journal_is_resumed(&successor);
 }
 
-/// Guards against a message without an outcome where nobody can tell how long ago its ambiguous attempt was:
-/// it fails, once, and the others are resumed.
+/// Guards against a message that never gets an outcome because the time since its ambiguous attempt is
+/// unknown: it must fail with one notice, and the other messages must be resumed.
 #[test]
 fn an_ambiguous_attempt_of_the_earlier_version_outside_the_idempotency_window_fails_with_a_notice() {
     let fixture = Fixture::new(vec![OK]);
@@ -293,8 +306,8 @@
     fixture.assert_settled(&successor, 3);
 }
 
-/// Guards against a state that is read as something it does not mean: the successor requests the journal
-/// alone instead.
+/// Guards against misreading the state of the earlier version: the successor must decline it and request the
+/// journal alone.
 #[test]
 fn the_state_of_the_earlier_version_is_declined_and_the_journal_is_read() {
     let fixture = Fixture::new(vec![OK]);
@@ -315,7 +328,7 @@
     fixture.assert_everything_in_the_journal_is_resumed(&successor);
 }
 
-/// Guards against a successor that gives in to a predecessor which offers nothing but its state.
+/// Guards against a successor that finally accepts the state because the predecessor offers nothing else.
 #[test]
 fn the_state_of_the_earlier_version_is_declined_however_often_it_is_offered() {
     let fixture = Fixture::new(vec![OK]);
@@ -333,8 +346,8 @@
     fixture.assert_everything_in_the_journal_is_resumed(&successor);
 }
 
-/// Guards against a downgrade that hands the earlier version a state which it would misread, and against
-/// messages that are lost in it.
+/// Guards against a downgrade in which the earlier version gets a state that it would misread, or in which
+/// messages are lost.
 #[test]
 fn a_downgrade_to_the_earlier_version_passes_the_journal_alone() {
     let fixture = Fixture::new(vec![Reply::NoAnswer, OK]);
@@ -346,9 +359,9 @@
     assert_eq!(listener.local_addr().unwrap(), predecessor.address);
     assert_eq!(read_frame(&mut stream), OFFER_WITHOUT_STATE);
     assert_eq!(predecessor.management_status("GET", "/status", ""), 503);
-    assert!(predecessor.wait().success(), "it drains and ends");
+    assert!(predecessor.wait().success(), "the predecessor did not drain and exit");
     let lock = File::open(fixture.state.join("lock")).unwrap();
-    lock.try_lock().expect("its end frees the lock");
+    lock.try_lock().expect("the predecessor still holds the lock after its exit");
     drop(lock);
     let _next = fixture.launch_ready();
     let again = fixture.single.next_call();
@@ -356,8 +369,7 @@
     assert_eq!(again.headers["idempotency-key"], "key-of-m1");
 }
 
-/// Guards against frames around the state that come to differ from version to version: those must stay
-/// readable.
+/// Guards against changes to the frames around the state, which every other version must be able to read.
 #[test]
 fn the_frames_around_the_state_are_those_of_the_earlier_version() {
     let fixture = Fixture::new(vec![OK]);
--- a/crates/message-sender/tests/journal_compatibility.rs
+++ b/crates/message-sender/tests/journal_compatibility.rs
@@ -1,4 +1,4 @@
-//! A sender that starts on a journal of an earlier version; `tests/data/journal/README.md` describes them.
+//! Starting a sender on journals of an earlier version, which `tests/data/journal/README.md` describes.
 
 mod support;
 
@@ -12,20 +12,26 @@
 use support::http::HttpMessage;
 use support::sender_process::SenderProcess;
 
+/// The journal as its records were appended.
 const APPENDED: &[u8] = include_bytes!("data/journal/appended.bin");
+/// The same journal after a compaction.
 const COMPACTED: &[u8] = include_bytes!("data/journal/compacted.bin");
 
-/// The name of the file in the state folder.
+/// The name of the journal file in the state directory.
 const JOURNAL: &str = "journal";
-/// Resumed messages of a destination go up to 0.9 s apart: what is to go at all has gone by then.
-const RESUMED: Duration = Duration::from_millis(1_200);
+/// How long a test waits before it checks that nothing more is sent: resumed messages of a destination start
+/// up to 0.9 s apart.
+const RESUMPTION_TIME: Duration = Duration::from_millis(1_200);
 
-/// The sender's surroundings: endpoints `s-1` and, drained in the journals, `s-2` of destination 7, and `s-3`
-/// of destination 8, which was drained and restored.
+/// A state directory with a recorded journal, the discovery server that lists all endpoints, and the
+/// endpoints.
 struct Environment {
     folder: tempfile::TempDir,
+    /// `s-1` of destination 7.
     endpoint: Endpoint,
+    /// `s-2` of destination 7, which is drained in the journals.
     drained: Endpoint,
+    /// `s-3` of destination 8, which was drained and restored in the journals.
     restored: Endpoint,
     discovery: Discovery,
     options: SenderOptions,
@@ -60,34 +66,36 @@
         SenderProcess::start(&state, &self.discovery, known, &self.options)
     }
 
-    /// So many calls of `s-1`, by message. No message comes twice.
+    /// Waits for `count` calls to `s-1`, and returns them by message id. Panics if a message arrives twice.
     fn calls(&self, count: usize) -> BTreeMap<String, HttpMessage> {
         let mut calls = BTreeMap::new();
         for _ in 0..count {
             let call = self.endpoint.next_call();
             let call_id = call.headers["x-call-id"].clone();
-            assert!(calls.insert(call_id.clone(), call).is_none(), "{call_id} came twice");
+            assert!(calls.insert(call_id.clone(), call).is_none(), "{call_id} was sent twice");
         }
         calls
     }
 
-    /// The notices that discovery has had, by message. None has come twice.
+    /// Takes the notices that have arrived by now, and returns them by message id. Panics if two are about
+    /// one message.
     fn notices(&self) -> BTreeMap<String, Value> {
         let mut notices = BTreeMap::new();
         for notice in self.discovery.notices.try_iter() {
             let call_id = notice["ref"].as_str().unwrap().to_owned();
-            assert!(notices.insert(call_id.clone(), notice).is_none(), "{call_id} came twice");
+            assert!(notices.insert(call_id.clone(), notice).is_none(), "two notices for {call_id}");
         }
         notices
     }
 }
 
+/// The notice with this result, by its message id.
 fn notice(call_id: &str, result: &str) -> (String, Value) {
     (call_id.to_owned(), json!({"ref": call_id, "result": result}))
 }
 
-/// Whether the attempts of earlier processes may be repeated decides on `m5`, `m6` and `m7`, which may have
-/// taken effect; all else is the same.
+/// Starts a sender on this journal and checks how each message ends. `repeats_ambiguous` says whether `m5`,
+/// `m6` and `m7`, which may have taken effect, are sent again or fail; all other messages end the same way.
 fn assert_resumes(journal: &[u8], idempotency: Idempotency, repeats_ambiguous: bool) {
     let environment = Environment::new(journal, idempotency);
     let sender = environment.start_sender();
@@ -108,19 +116,19 @@
 
     let calls = environment.calls(delivered.len());
     assert_eq!(calls.keys().collect::<Vec<_>>(), delivered);
-    assert!(environment.endpoint.has_no_call(), "nothing else is for destination 7");
+    assert!(environment.endpoint.has_no_call(), "another call was made to destination 7");
     for (call_id, call) in &calls {
         assert_eq!(call.headers.get("idempotency-key"), expected_key(call_id).as_ref(), "{call_id}");
         assert_eq!(call.body, expected_body(call_id), "{call_id}");
     }
     assert_eq!(environment.notices(), notices);
     assert_eq!(environment.restored.next_call().headers["x-call-id"], "m16");
-    assert!(environment.restored.has_no_call(), "one message is for destination 8");
-    assert!(environment.drained.has_no_call(), "a drained endpoint gets nothing");
-    // What is over is over for the next process too.
+    assert!(environment.restored.has_no_call(), "more than one call was made to destination 8");
+    assert!(environment.drained.has_no_call(), "a drained endpoint got a call");
+    // Messages that have ended stay ended in the next process.
     sender.kill();
     let _next = environment.start_sender();
-    std::thread::sleep(RESUMED);
+    std::thread::sleep(RESUMPTION_TIME);
     assert!(environment.endpoint.has_no_call());
     assert!(environment.notices().is_empty());
     assert!(environment.restored.has_no_call());
@@ -139,27 +147,28 @@
     }
 }
 
-/// A message that may have taken effect must not be sent again where repeats are harmful, and must not be
-/// rejected.
+/// Guards against losing what an earlier version stored, and against sending again or rejecting a message
+/// that may have taken effect in a class where repeats are harmful.
 #[test]
 fn an_appended_journal_of_an_earlier_version_is_resumed() {
     assert_resumes(APPENDED, Idempotency::Never, false);
 }
 
+/// Guards against the same faults with the records that only a compaction writes.
 #[test]
 fn a_compacted_journal_of_an_earlier_version_is_resumed() {
     assert_resumes(COMPACTED, Idempotency::Never, false);
 }
 
-/// Where repeats are harmless, also a message that may have taken effect is sent again.
+/// Guards against failing a message that may have taken effect in a class where repeats are harmless.
 #[test]
 fn ambiguous_messages_of_an_earlier_version_are_sent_again_where_repeats_are_harmless() {
     assert_resumes(APPENDED, Idempotency::Always, true);
     assert_resumes(COMPACTED, Idempotency::Always, true);
 }
 
-/// Guards against a message that overtakes one of its order key whose rejection the platform has not
-/// acknowledged.
+/// Guards against sending a message before the platform has acknowledged the rejection of an earlier message
+/// with the same order key.
 #[test]
 fn a_pending_notice_of_an_earlier_version_holds_back_its_order_key() {
     for journal in [APPENDED, COMPACTED] {
@@ -167,12 +176,15 @@
         environment.discovery.reject_notices(10_000);
         let sender = environment.start_sender();
         environment.discovery.await_rejected_notice();
-        // The five others for this endpoint that may go; the three ambiguous ones and the pending notices
-        // stay.
+        // Only these five messages may be sent to this endpoint: the three ambiguous messages and those with
+        // a pending notice may not.
         let calls = environment.calls(5);
         assert_eq!(calls.keys().collect::<Vec<_>>(), ["m1", "m14", "m2", "m3", "m4"]);
-        std::thread::sleep(RESUMED);
-        assert!(environment.endpoint.has_no_call(), "m13 waits for the answer to the notice of m9");
+        std::thread::sleep(RESUMPTION_TIME);
+        assert!(
+            environment.endpoint.has_no_call(),
+            "a call was made before the notice of m9 was acknowledged"
+        );
         environment.discovery.reject_notices(0);
         assert_eq!(environment.endpoint.next_call().headers["x-call-id"], "m13");
         drop(sender);
--- a/crates/message-sender/tests/restart.rs
+++ b/crates/message-sender/tests/restart.rs
@@ -1,4 +1,4 @@
-//! What outlasts the process: messages, their attempts and their order.
+//! What a restart preserves: messages, their attempts and their order.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use support::http::read_message;
 use support::sender_process::{SenderProcess, Signal};
 
-/// Guards against work that is lost with the process.
+/// Guards against losing an accepted message when the process is killed with its call in flight.
 #[test]
 fn call_in_flight_at_a_kill_is_retried_with_its_idempotency_key() {
     let environment = Environment::new(vec![Reply::NoAnswer, OK]);
@@ -32,8 +32,8 @@
     assert_eq!(retry.body, b"kept");
 }
 
-/// Guards against an order that is lost with the process: the head of the subject's queue is the head again,
-/// and holds back the others.
+/// Guards against losing the order of messages when the process is killed: the head of the subject's queue
+/// must be sent first again, and must hold back the messages behind it.
 #[test]
 fn messages_about_one_subject_keep_their_order_across_a_kill() {
     let environment = Environment::with_options(
@@ -48,14 +48,14 @@
     sender.kill();
     let sender = environment.start_sender();
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
-    // Recovered messages start up to 0.9 s apart; the second would have come by then.
+    // Recovered messages start up to 0.9 s apart: m2 would have arrived by the end of this pause.
     std::thread::sleep(Duration::from_millis(1_200));
     assert_eq!(sender.submit_about("other", "m3"), ACCEPTED);
     assert_eq!(environment.endpoint.next_call().message_id(), "m3");
 }
 
-/// Guards against a message that is sent while the platform still counts its predecessor under the key as
-/// open, also where that was given up by a process that has died since.
+/// Guards against sending a message while the platform still counts the previous message of its order key as
+/// open, also if a process that has since been killed gave up the previous message.
 #[test]
 fn order_key_waits_for_the_acknowledgement_of_its_notice_across_a_kill() {
     let options =
@@ -71,7 +71,7 @@
     assert!(environment.endpoint.has_no_call());
     sender.kill();
     let _sender = environment.start_sender();
-    // Recovered messages start up to 0.9 s after the start.
+    // Recovered messages are sent within 0.9 s of the start.
     std::thread::sleep(Duration::from_millis(1_200));
     assert!(environment.endpoint.has_no_call());
     environment.discovery.reject_notices(0);
@@ -79,8 +79,8 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
 }
 
-/// Guards against a call that was in flight at the process's death being taken for one that was never sent: a
-/// non-idempotent message must neither be retried nor be rejected.
+/// Guards against treating a call that was in flight when the process was killed as never sent: its
+/// non-idempotent message must be neither retried nor rejected.
 #[test]
 fn non_idempotent_message_in_flight_at_a_kill_fails() {
     let environment = Environment::with_options(
@@ -97,7 +97,7 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against rejections that nobody can trace: the log says what caused them, and for which destination.
+/// Guards against rejections that operators cannot trace: the log must state their cause and destination.
 #[test]
 fn log_names_cause_and_destination_of_undelivered_messages() {
     let environment = Environment::with_options(
@@ -115,10 +115,10 @@
     sender.await_log(&["messages not delivered", "cause=Rejected", "{7:"]);
 }
 
-/// Guards against rejected attempts being taken for ambiguous ones once the process has died.
+/// Guards against treating rejected attempts as ambiguous ones after a restart.
 #[test]
 fn non_idempotent_message_that_was_only_rejected_is_retried_after_a_restart() {
-    // A Retry-After that ends after the drain has stopped sending.
+    // The Retry-After ends after the time at which a draining process stops starting attempts.
     let script = vec![Reply::Answer("429 Busy\r\nX-Come-Back-Ms: 2900\r\n"), OK];
     let environment = Environment::with_options(
         script,
@@ -133,7 +133,7 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
 }
 
-/// Guards against a notice that is never sent, when the deadline passes while no process is there.
+/// Guards against a notice that is never sent because the deadline passed while no process was running.
 #[test]
 fn message_past_its_deadline_at_the_start_ends_at_once() {
     let environment = Environment::new(vec![Reply::NoAnswer]);
@@ -147,32 +147,32 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against delivered messages that come back from the journal.
+/// Guards against sending a delivered message again because the journal still holds it after a restart.
 #[test]
 fn delivered_message_is_not_sent_again_after_a_restart() {
     Environment::new(vec![OK]).assert_first_call_delivers();
 }
 
-/// Guards against new connections being rejected while the front does not know of the drain yet, and against
-/// a process that stays after SIGTERM until SIGKILL.
+/// Guards against rejecting new connections before the load balancer in front has noticed the drain, and
+/// against a process that keeps running after SIGTERM until it gets SIGKILL.
 #[test]
 fn draining_sender_answers_and_delivers_before_it_exits() {
     let environment = Environment::new(vec![OK]);
     let mut sender = environment.start_sender();
     let mut connection = BufReader::new(sender.connect());
     connection.get_mut().write_all(submission("m1", 20_000, "x").as_bytes()).unwrap();
-    assert_eq!(read_message(&mut connection).expect("an answer").start_line, ACCEPTED);
+    assert_eq!(read_message(&mut connection).expect("the sender did not answer").start_line, ACCEPTED);
     environment.endpoint.next_call();
     sender.signal(Signal::Terminate);
-    // Closed between requests.
+    // The sender closes the connection between requests.
     assert!(read_message(&mut connection).is_none());
-    let late = sender.request(&submission("m2", 20_000, "x")).expect("an answer");
+    let late = sender.request(&submission("m2", 20_000, "x")).expect("the sender did not answer");
     assert_eq!((late.start_line.as_str(), late.headers["connection"].as_str()), (ACCEPTED, "close"));
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
     assert!(sender.wait().success());
 }
 
-/// Guards against accepting messages that the disk has no space for.
+/// Guards against accepting messages for which the journal has no disk space left.
 #[test]
 fn full_journal_rejects_messages_with_retry_after() {
     let environment = Environment::with_options(
@@ -182,10 +182,12 @@
     let sender = environment.start_sender();
     let body = "x".repeat(60_000);
     let rejection = (0..20).find_map(|number| {
-        let answer = sender.request(&submission(&format!("m{number}"), 20_000, &body)).expect("an answer");
+        let answer = sender
+            .request(&submission(&format!("m{number}"), 20_000, &body))
+            .expect("the sender did not answer");
         (answer.start_line != ACCEPTED).then_some(answer)
     });
-    let rejection = rejection.expect("the disk is full at last");
+    let rejection = rejection.expect("the journal did not become full");
     assert!(
         rejection.start_line.contains("503") && rejection.headers.contains_key("retry-after"),
         "{rejection:?}"
@@ -195,8 +197,9 @@
     sender.await_log(&["messages not delivered", "JournalFull", "{7: 1}"]);
 }
 
-/// Size of the files in a directory, in full blocks.
+/// Total size of the files in a directory, in bytes, with each file rounded up to full blocks.
 fn disk_usage(directory: &Path) -> u64 {
+    /// Size of a block, in bytes.
     const BLOCK: u64 = 512;
     let mut blocks = 0;
     for file in std::fs::read_dir(directory).unwrap() {
@@ -205,10 +208,11 @@
     blocks * BLOCK
 }
 
-/// A listener whose queue is full: connections to it are not established while the value lives.
+/// A listener whose accept queue is full: connections to it are not established until the value is dropped.
 struct UnreachableListener {
     _listener: Socket,
     address: SocketAddr,
+    /// The connections that fill the queue.
     _queued: Vec<Socket>,
 }
 
@@ -223,7 +227,7 @@
         for _ in 0..4 {
             let client = socket();
             client.set_nonblocking(true).unwrap();
-            // It is being established, or the queue is full.
+            // This fails because the connection is still in progress or the queue is already full.
             let _ = client.connect(&address);
             queued.push(client);
         }
@@ -231,8 +235,8 @@
     }
 }
 
-/// Guards against a call that was decided on, but whose connection was not established when the process died,
-/// being taken for an ambiguous attempt: a non-idempotent message would fail unattempted.
+/// Guards against treating a call whose connection was not yet established when the process was killed as an
+/// ambiguous attempt: a non-idempotent message would fail without having been sent.
 #[test]
 fn non_idempotent_message_whose_connection_was_not_established_at_a_kill_is_attempted() {
     let environment = Environment::with_options(
@@ -249,20 +253,20 @@
         &environment.options,
     );
     assert_eq!(sender.submit("m1", 20_000, "x"), ACCEPTED);
-    // The call is decided on in the turn of the answer; the connect time-out is a second.
+    // The sender decides on the call in the turn in which it answers the client; the connect timeout is 1 s.
     std::thread::sleep(Duration::from_millis(300));
     sender.kill();
     environment.discovery.publish(vec![endpoint_line("s-1", environment.endpoint.address, 7, "up")]);
     let _sender = environment.start_sender();
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
-    assert!(environment.discovery.notices.try_recv().is_err(), "there is no notice about it");
+    assert!(environment.discovery.notices.try_recv().is_err(), "a notice was sent for m1");
 }
 
-/// Number of messages that wait unattempted at the end of a process.
+/// Number of messages that wait without an attempt when the first process ends.
 const UNATTEMPTED: usize = 12;
 
-/// Ends a process with this signal while [`UNATTEMPTED`] messages wait for a Retry-After; returns how many of
-/// them the next process attempts, whose endpoint then goes on with this script.
+/// Ends a process with this signal while [`UNATTEMPTED`] messages wait for a Retry-After, and starts another
+/// one, whose calls the endpoint answers by the script `then`. Returns how many of the messages it attempts.
 fn attempted_after_recovery(signal: Signal, then: &[Reply], discovery_is_up: bool) -> usize {
     let script = [&[Reply::Answer("429 Busy\r\nX-Come-Back-Ms: 9000\r\n")], then].concat();
     let options = SenderOptions { idempotency: Idempotency::Never, ..SenderOptions::default() };
@@ -291,14 +295,14 @@
     );
     sender.await_log(&["recovered messages from the journal", "unattempted=12 attempted=1 pending_notices="]);
     sender.await_ready();
-    // Until all have ended.
+    // Wait until all messages have ended.
     sender.await_metric("in_progress", 0);
     let calls = environment.endpoint.calls.try_iter();
     let ids: BTreeSet<_> = calls.map(|call| call.message_id().to_owned()).collect();
     ids.iter().filter(|id| id.starts_with('m')).count()
 }
 
-/// Guards against messages that were accepted, and are given up after a restart without a call.
+/// Guards against giving up accepted messages after a restart without a call.
 #[test]
 fn recovered_unattempted_messages_are_attempted() {
     for signal in [Signal::Kill, Signal::Terminate] {
@@ -307,13 +311,15 @@
     }
 }
 
+/// Guards against giving up recovered messages without a call because discovery does not answer.
 #[test]
 fn recovered_unattempted_messages_are_attempted_with_discovery_down() {
     let attempted = attempted_after_recovery(Signal::Kill, &[OK], false);
     assert_eq!(attempted, UNATTEMPTED);
 }
 
-/// The destination rejects at first, as one that is closed or cold.
+/// Guards against giving up most recovered messages without a call because the destination rejects the first
+/// calls, as one does that is closed or has just started.
 #[test]
 fn recovered_unattempted_messages_are_attempted_where_the_destination_is_not_ready_yet() {
     let rejection = Reply::Answer("503 Shut\r\n");
--- a/crates/message-sender/tests/startup.rs
+++ b/crates/message-sender/tests/startup.rs
@@ -1,10 +1,10 @@
-//! How a sender that cannot start says so.
+//! Error reports of a sender that cannot start.
 
 use std::net::TcpListener;
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Starts a sender that is expected to end by itself.
+/// Starts a sender that is expected to exit by itself, and waits for that.
 fn start(config: Option<&Path>, state: Option<&Path>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_message-sender"));
     for (name, value) in [("ROUTER_CONFIG", config), ("ROUTER_STATE", state)] {
@@ -13,18 +13,24 @@
             None => command.env_remove(name),
         };
     }
-    command.env_remove("ROUTER_MANAGEMENT").env("RUST_BACKTRACE", "1").output().expect("the sender starts")
+    command
+        .env_remove("ROUTER_MANAGEMENT")
+        .env("RUST_BACKTRACE", "1")
+        .output()
+        .expect("the sender could not be started")
 }
 
-/// Checks that a sender failed with one line that contains all these words, and returns it.
+/// Checks that a sender exited with status 1 after one line of output, besides `INFO` lines, that contains
+/// all these texts.
 fn assert_fails_with(output: &Output, words: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     let lines: Vec<_> = text.lines().filter(|line| !line.contains(" INFO ")).collect();
-    assert_eq!(lines.len(), 1, "one line: {text}");
-    assert!(words.iter().all(|word| lines[0].contains(word)), "{words:?} in {text}");
+    assert_eq!(lines.len(), 1, "expected one line: {text}");
+    assert!(words.iter().all(|word| lines[0].contains(word)), "not all of {words:?} in {text}");
     assert_eq!(output.status.code(), Some(1));
 }
 
+/// Guards against an error that does not name the missing environment variable.
 #[test]
 fn a_missing_variable_of_the_environment_is_named() {
     let folder = tempfile::tempdir().unwrap();
@@ -32,6 +38,8 @@
     assert_fails_with(&start(None, Some(folder.path())), &["ROUTER_CONFIG"]);
 }
 
+/// Guards against an error that does not say why the configuration cannot be read: a missing file or invalid
+/// JSON.
 #[test]
 fn a_configuration_that_cannot_be_read_is_reported_with_its_cause() {
     let folder = tempfile::tempdir().unwrap();
@@ -41,7 +49,7 @@
     assert_fails_with(&start(Some(&config), Some(folder.path())), &["configuration", "EOF while parsing"]);
 }
 
-/// Guards against an error that names no cause: which address, and that another process has it.
+/// Guards against an error that states neither which of the sender's addresses is in use nor that it is.
 #[test]
 fn a_listening_address_that_is_taken_is_reported_with_its_cause() {
     let folder = tempfile::tempdir().unwrap();
