--- a/crates/message-sender/tests/delivery.rs
+++ b/crates/message-sender/tests/delivery.rs
@@ -13,6 +13,7 @@
 use support::sender_process::SenderProcess;
 use support::TIMEOUT;
 
+/// Guards against calls that change the message's body or id, its idempotency key or the call's form.
 #[test]
 fn message_is_forwarded_unchanged() {
     let environment = Environment::new(vec![OK]);
@@ -26,7 +27,7 @@
     assert!(call.headers["x-budget-ms"].parse::<u64>().unwrap() > 0);
 }
 
-/// Guards against a reset that is taken for the end of a message, and against a retry with a new key.
+/// Guards against giving up a message whose call was reset, and against retrying it with another key.
 #[test]
 fn reset_call_is_retried_with_the_same_idempotency_key() {
     let environment = Environment::new(vec![Reply::CloseConnection, OK]);
@@ -38,7 +39,8 @@
     assert_eq!(first.message_id(), second.message_id());
 }
 
-/// Guards against calls to a destination before the end of its Retry-After, for the same message or another.
+/// Guards against calls to a destination before its Retry-After has elapsed, for the rejected message or
+/// another.
 #[test]
 fn no_call_is_made_before_the_retry_after_has_elapsed() {
     let environment = Environment::new(vec![Reply::Answer("429 Busy\r\nX-Come-Back-Ms: 1500\r\n"), OK]);
@@ -47,7 +49,7 @@
     let rejected = environment.endpoint.next_call();
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     let next = environment.endpoint.next_call();
-    // The call was read before the Retry-After was written: the true interval is longer.
+    // The call was read before the Retry-After was written: the measured interval includes the write.
     assert!(
         next.received_at - rejected.received_at >= Duration::from_millis(1500),
         "{:?}",
@@ -55,7 +57,7 @@
     );
 }
 
-/// Guards against a notice, or another call, for a message that the platform says is over.
+/// Guards against a notice, or another call, for a message that a 410 answer declares to be ended.
 #[test]
 fn message_that_the_platform_has_ended_gets_no_call_and_no_notice() {
     let environment = Environment::new(vec![Reply::Answer("410 Gone\r\n"), OK]);
@@ -64,14 +66,15 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
-    // Well past the deadline of the first.
+    // This wait ends well after the deadline of m1.
     assert!(environment.discovery.notices.recv_timeout(Duration::from_secs(3)).is_err());
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against a busy line, which proves that the call had no effect, being taken for an error or an end.
+/// Guards against treating an answer with `X-Line-Busy`, which proves that the call had no effect, as an
+/// error or as the end of the message.
 #[test]
-fn call_rejected_because_the_line_is_busy_is_retried() {
+fn call_rejected_by_a_busy_endpoint_is_retried() {
     let environment = Environment::new(vec![Reply::Answer("503 Busy\r\nX-Line-Busy: 1\r\n"), OK]);
     let sender = environment.start_sender();
     assert_eq!(sender.submit("m1", 20_000, "x"), ACCEPTED);
@@ -79,7 +82,7 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
 }
 
-/// Guards against a notice that is lost because the discovery server did not acknowledge it at once.
+/// Guards against losing a notice because the discovery server rejects it at first.
 #[test]
 fn notice_is_sent_until_it_is_acknowledged() {
     let environment = Environment::new(vec![Reply::NoAnswer]);
@@ -90,7 +93,7 @@
     assert_eq!((&notice["ref"], &notice["result"]), (&"m1".into(), &"dead".into()));
 }
 
-/// Guards against calls to an endpoint that drains, and against a watch that is not continued.
+/// Guards against calls to a draining endpoint, and against a watch that ends after its first answer.
 #[test]
 fn draining_endpoint_gets_no_new_calls() {
     let environment = Environment::new(vec![OK]);
@@ -109,8 +112,8 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against a connection that the endpoint closed while it was idle: the call on it was never received,
-/// and is made on a new one without counting as an attempt.
+/// Guards against losing a call, or counting an attempt, on a connection that the endpoint closed while it
+/// was idle: the endpoint never received the call, which must be made on a new connection.
 #[test]
 fn connection_closed_while_idle_is_not_reused() {
     let environment = Environment::new(vec![Reply::Answer("200 OK\r\nX-Then: closes\r\n"), OK]);
@@ -122,7 +125,7 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against a new endpoint being given the connections of the one whose address it took.
+/// Guards against calling a new endpoint on connections of the removed endpoint whose address it took over.
 #[test]
 fn connections_belong_to_an_endpoint_not_to_its_address() {
     let environment = Environment::new(vec![OK]);
@@ -144,7 +147,7 @@
     assert!(peers[0] == peers[1] && third != peers[1], "{peers:?} {third:?}");
 }
 
-/// Waits for the next call; `None` if a notice that a message was given up comes first.
+/// Waits for the next call; `None` if a notice arrives first, which means that a message was given up.
 fn next_call_before_any_notice(environment: &Environment) -> Option<HttpMessage> {
     loop {
         let call = environment.endpoint.calls.recv_timeout(Duration::from_millis(200));
@@ -157,8 +160,8 @@
     }
 }
 
-/// Guards against a destination that is starved because it rejected a call of a process that had sent next to
-/// nothing, as after a restart: the rate must follow the demand, not only what was sent.
+/// Guards against starving a destination that rejects a call of a process which has sent almost nothing yet,
+/// as after a restart: the rate must follow the demand, not only what was sent.
 #[test]
 fn one_early_rejection_does_not_starve_a_destination() {
     const MESSAGES: usize = 40;
@@ -167,15 +170,15 @@
     for number in 0..MESSAGES {
         assert_eq!(sender.submit(&format!("m{number}"), 12_000, "x"), ACCEPTED);
     }
-    // One call was rejected, each other one delivers a message, if none is given up.
+    // If no message is given up, there is one rejected call and one more call per message.
     for delivered in 0..=MESSAGES {
         let call = next_call_before_any_notice(&environment);
         assert!(call.is_some(), "a message was given up after {delivered} calls");
     }
 }
 
-/// Guards against calls whose answers got lost using up the concurrency limit: where later calls are
-/// answered, such a call is cancelled before those to an endpoint that may only be slow.
+/// Guards against calls whose answers were lost using up the concurrency limit: a call that is overtaken by
+/// answers to later calls must be cancelled before calls to an endpoint that may only be slow.
 #[test]
 fn call_whose_answer_is_lost_is_cancelled_soon() {
     const DELIVERED_BEFORE: usize = 20;
@@ -192,7 +195,7 @@
     let sender = SenderProcess::start(&state.path, &discovery, lines, &SenderOptions::default());
     let submit = |destination: &str, id: String| {
         let text = submission(&id, 20_000, "x").replace("dest=7", destination);
-        assert_eq!(sender.request(&text).expect("an answer").start_line, ACCEPTED);
+        assert_eq!(sender.request(&text).expect("the sender did not answer").start_line, ACCEPTED);
     };
     let (first, second) = ("dest=7", "dest=8");
     for number in 0..DELIVERED_BEFORE {
@@ -201,8 +204,8 @@
         submit(second, format!("b{number}"));
         unresponsive.next_call();
     }
-    // Ten calls in flight: six to the second destination, four to the first, of which only the oldest is
-    // overtaken.
+    // Ten calls are in flight: six to the second destination and four to the first, of which only the oldest
+    // is overtaken by an answered call.
     for number in 0..6 {
         submit(second, format!("hung{number}"));
         unresponsive.next_call();
@@ -212,15 +215,15 @@
         losing.next_call();
     }
     submit(first, "waits".to_owned());
-    let cancelled = || losing.closed_connections.recv_timeout(TIMEOUT).expect("a call is cancelled");
+    let cancelled = || losing.closed_connections.recv_timeout(TIMEOUT).expect("no call was cancelled");
     assert!(std::iter::repeat_with(cancelled).take(10).any(|id| id == "lost"));
     let ended = unresponsive.closed_connections.try_iter();
     let hung: Vec<_> = ended.filter(|id| id.starts_with("hung")).collect();
     assert!(hung.is_empty(), "{hung:?}");
 }
 
-/// Guards against messages about one subject that overtake each other: the subject that the client names must
-/// reach the controller.
+/// Guards against messages about one subject that overtake each other because the subject which the client
+/// names does not reach the controller.
 #[test]
 fn messages_about_one_subject_are_sent_one_at_a_time() {
     let environment = Environment::with_options(
--- a/crates/message-sender/tests/hostile_clients.rs
+++ b/crates/message-sender/tests/hostile_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that break the protocol or occupy what others need.
+//! Clients that violate HTTP or occupy resources that other clients need.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use support::sender_process::SenderProcess;
 use support::TIMEOUT;
 
-/// Starts a sender that knows the endpoint list, and so which destinations do not exist.
+/// Starts a sender and waits until it has the endpoint list, so that it knows which destinations exist.
 fn start() -> (Environment, SenderProcess) {
     let environment = Environment::new(vec![OK]);
     let sender = environment.start_sender();
@@ -26,20 +26,20 @@
     let mut stream = sender.connect();
     stream.write_all(submission(id, 10_000, "x").as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
-    let answer = read_message(&mut reader).expect("an answer");
+    let answer = read_message(&mut reader).expect("the sender did not answer");
     (answer.start_line, reader.into_inner())
 }
 
-/// The connection is closed, or will be before long, without an answer.
+/// Waits until the sender closes the connection, and checks that it sends no answer.
 fn assert_closed(mut stream: TcpStream) {
     match stream.read(&mut [0; 64]) {
         Ok(0) => {}
-        Ok(_) => panic!("an answer to nothing"),
+        Ok(_) => panic!("the sender answered a connection without a request"),
         Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset),
     }
 }
 
-/// Guards against clients that keep their connections open and so keep all others in the backlog.
+/// Guards against clients that keep their connections open, so that new clients wait in the listen backlog.
 #[test]
 fn idle_connections_do_not_exclude_other_clients() {
     let (environment, sender) = start();
@@ -52,8 +52,8 @@
     }
 }
 
-/// Guards against clients that connect by hundreds and send nothing, and against their connections staying
-/// open.
+/// Guards against hundreds of connections that send nothing and keep out other clients, or that are never
+/// closed.
 #[test]
 fn silent_connections_exclude_no_client_and_are_closed() {
     let (_environment, sender) = start();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Guards against a request time-out that starts anew with each byte.
+/// Guards against a request timeout that starts again with each byte received.
 #[test]
 fn endless_request_is_closed_though_bytes_keep_arriving() {
     let (environment, sender) = start();
@@ -83,7 +83,8 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against forwarding what another reader would take for one more request.
+/// Guards against request smuggling: forwarding bytes that another HTTP parser would read as a further
+/// request.
 #[test]
 fn request_that_may_smuggle_another_is_not_forwarded() {
     let (environment, sender) = start();
@@ -96,7 +97,7 @@
         let mut stream = sender.connect();
         stream.write_all(text.as_bytes()).unwrap();
         let mut reader = BufReader::new(stream);
-        let answer = read_message(&mut reader).expect("an answer");
+        let answer = read_message(&mut reader).expect("the sender did not answer");
         assert!(
             answer.start_line.contains(" 400 ") || answer.start_line.contains(" 501 "),
             "{} to {text}",
@@ -109,8 +110,8 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against reading the body of a request that will be rejected anyway, and against buffering a message
-/// that nobody can receive.
+/// Guards against reading the body of a request that its head already makes invalid, and against buffering a
+/// message that cannot be delivered.
 #[test]
 fn undeliverable_request_is_rejected_by_its_head() {
     let (environment, sender) = start();
@@ -123,27 +124,27 @@
         (good.replace("Budget-Ms: 20000", "Budget-Ms: 0"), " 503 "),
     ];
     for (text, status) in cases {
-        let answer = sender.request(&text).expect("an answer");
+        let answer = sender.request(&text).expect("the sender did not answer");
         assert!(answer.start_line.contains(status), "{} to {text}", answer.start_line);
     }
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against a request that is lost, or taken for two, because it arrives a byte at a time.
+/// Guards against losing a request, or reading it as two, because it arrives one byte at a time.
 #[test]
 fn request_in_single_bytes_is_accepted() {
     let (environment, sender) = start();
     let mut stream = BufReader::new(sender.connect());
     for id in ["m1", "m2"] {
         write_byte_by_byte(stream.get_mut(), submission(id, 10_000, "in pieces").as_bytes()).unwrap();
-        assert_eq!(read_message(&mut stream).expect("an answer").start_line, ACCEPTED);
+        assert_eq!(read_message(&mut stream).expect("the sender did not answer").start_line, ACCEPTED);
         let call = environment.endpoint.next_call();
         assert_eq!((call.message_id(), call.body.as_slice()), (id, b"in pieces".as_slice()));
     }
 }
 
-/// Guards against connection slots, descriptors or messages that clients leak, at whatever point they
-/// disconnect.
+/// Guards against leaking connection slots, file descriptors or messages when a client disconnects, whatever
+/// part of its request it has sent by then.
 #[test]
 fn disconnected_clients_leak_nothing() {
     let (environment, sender) = start();
--- a/crates/message-sender/tests/malformed_answers.rs
+++ b/crates/message-sender/tests/malformed_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of endpoints that break the protocol.
+//! Answers of endpoints that violate HTTP.
 
 mod support;
 
@@ -9,18 +9,19 @@
 use support::endpoint::{Reply, OK};
 use support::environment::Environment;
 
-/// An environment in which messages may not be repeated once they may have taken effect.
+/// An environment in which messages that may have taken effect must not be sent again.
 fn with_non_idempotent_messages(script: Vec<Reply>) -> Environment {
     let options = SenderOptions { idempotency: Idempotency::Never, ..SenderOptions::default() };
     Environment::with_options(script, options)
 }
 
-/// A message answered like this is delivered.
+/// Checks that a message whose call gets this answer is delivered.
 fn assert_delivered_by(answer: &'static str) {
     Environment::new(vec![Reply::Raw(answer), OK]).assert_first_call_delivers();
 }
 
-/// Guards against a retry of a message that a status line has confirmed.
+/// Guards against retrying a message that a status line with 200 has confirmed, because the rest of the
+/// answer is malformed or incomplete, or because an interim response precedes the status line.
 #[test]
 fn status_line_with_200_counts_as_delivery_whatever_follows() {
     assert_delivered_by("HTTP/1.1 200 OK\r\n\u{0} no header\r\n\r\n");
@@ -30,7 +31,7 @@
 }
 
 /// Guards against taking a malformed answer as proof that the call had no effect: a non-idempotent message
-/// would be retried, or rejected.
+/// would be retried or rejected although it may have taken effect.
 #[test]
 fn malformed_rejection_is_ambiguous() {
     for answer in [
@@ -49,7 +50,7 @@
     }
 }
 
-/// Guards against a message that ends because a malformed answer said so.
+/// Guards against ending a message because of a 410 answer that is malformed.
 #[test]
 fn malformed_terminal_answer_is_not_terminal() {
     let answer = "HTTP/1.1 410 Gone\r\nContent-Length: 50\r\n\r\nshort";
@@ -60,7 +61,7 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m1");
 }
 
-/// Guards against response heads that keep their call in flight until its time-out.
+/// Guards against response heads that never end and keep their call in flight until its timeout.
 #[test]
 fn endless_response_head_is_abandoned_soon() {
     let environment =
@@ -69,11 +70,11 @@
     let start = Instant::now();
     assert_eq!(sender.submit("m1", 24_000, "x"), ACCEPTED);
     assert_eq!(environment.discovery.next_notice()["result"], "dead");
-    // Its time-out would be all of the 24 s.
+    // The call's timeout would be the full 24 s.
     assert!(start.elapsed() < Duration::from_secs(12), "{:?}", start.elapsed());
 }
 
-/// Guards against a second copy of an answer being taken for the answer to the next call.
+/// Guards against taking a second copy of an answer as the answer to the next call on the connection.
 #[test]
 fn bytes_after_an_answer_do_not_answer_the_next_call() {
     let duplicated =
@@ -86,12 +87,12 @@
     let second = environment.endpoint.next_call();
     assert_eq!(second.message_id(), "m2");
     assert_ne!(first.peer, second.peer);
-    // The call whose connection closed was not answered by the bytes left over.
+    // The surplus bytes did not answer the call whose connection was closed.
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
 }
 
-/// Guards against an answer in single bytes being taken for a reset, and against its connection not being
-/// reused.
+/// Guards against treating an answer that arrives one byte at a time as a reset, and against not reusing its
+/// connection.
 #[test]
 fn answer_in_single_bytes_is_accepted() {
     let environment = with_non_idempotent_messages(vec![Reply::ByteByByte, OK]);
@@ -99,7 +100,7 @@
     assert_eq!(sender.submit("m1", 20_000, "x"), ACCEPTED);
     let first = environment.endpoint.next_call();
     sender.await_metric("passed.notice", 1);
-    // The answer counts from its status line on; its connection is free once all of it has arrived.
+    // The status line alone counts as delivery; the connection is free once the whole answer has arrived.
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     assert_eq!(environment.endpoint.next_call().peer, first.peer);
--- a/crates/message-sender/tests/module_structure.rs
+++ b/crates/message-sender/tests/module_structure.rs
@@ -1,10 +1,10 @@
-//! The sender's modules import each other in one direction only.
+//! Checks that there are no import cycles between the sender's modules.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The modules that each module imports by `crate::`.
+/// For each module, the modules that it imports by a path that begins with `crate::`.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
 fn source_files(folder: &Path) -> Vec<PathBuf> {
@@ -20,7 +20,7 @@
     files
 }
 
-/// The top-level module of a file: its first folder, or its own name.
+/// The top-level module of a file: the first folder of its path, or the file's own name.
 fn module_of(file: &Path) -> String {
     let first = file.components().next().unwrap().as_os_str().to_str().unwrap();
     first.trim_end_matches(".rs").to_owned()
@@ -44,8 +44,9 @@
     imports
 }
 
-/// Removes modules that import none of the others left, until only those of a circle and above are left.
-fn in_circles(mut imports: Imports) -> Vec<String> {
+/// Repeatedly removes modules that import none of the remaining ones. Returns what is left: modules that are
+/// part of a cycle, and modules that import one of those directly or indirectly.
+fn modules_in_or_above_cycles(mut imports: Imports) -> Vec<String> {
     loop {
         let names: BTreeSet<String> = imports.keys().cloned().collect();
         let before = imports.len();
@@ -56,19 +57,20 @@
     }
 }
 
-/// Guards against modules that can only be understood together.
+/// Guards against import cycles between modules, which could then only be understood together.
 #[test]
 fn no_circle_of_imports_between_modules() {
     let imports = imports();
-    assert!(imports["event_loop"].contains("journal"), "imports are found: {imports:?}");
-    assert_eq!(in_circles(imports), Vec::<String>::new());
+    assert!(imports["event_loop"].contains("journal"), "an import that exists was not found: {imports:?}");
+    assert_eq!(modules_in_or_above_cycles(imports), Vec::<String>::new());
 }
 
+/// Guards against a cycle search that finds nothing, with which the test above would always pass.
 #[test]
 fn a_circle_is_found() {
     let module = |name: &str, imported: &[&str]| {
         (name.to_owned(), imported.iter().map(|name| (*name).to_owned()).collect::<BTreeSet<_>>())
     };
     let imports = [module("a", &["b"]), module("b", &["c"]), module("c", &["b", "d"]), module("d", &[])];
-    assert_eq!(in_circles(imports.into_iter().collect()), ["a", "b", "c"]);
+    assert_eq!(modules_in_or_above_cycles(imports.into_iter().collect()), ["a", "b", "c"]);
 }
--- a/crates/message-sender/tests/operator_api.rs
+++ b/crates/message-sender/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators do through the management listener: metrics, maintenance and standby.
+//! Operator calls to the management listener: metrics, maintenance and standby.
 
 mod support;
 
@@ -14,7 +14,8 @@
 use support::sender_process::Signal;
 use support::TIMEOUT;
 
-/// Guards against success for a call that does nothing, and against a panic or no answer on any input.
+/// Guards against reporting success for a call that has no effect, and against a panic or a missing answer on
+/// invalid input.
 #[test]
 fn invalid_management_calls_are_rejected() {
     let environment = Environment::new(vec![OK]);
@@ -38,11 +39,12 @@
     let mut stream = TcpStream::connect(sender.management).unwrap();
     stream.write_all(b"what?\r\n\r\n").unwrap();
     assert!(read_message(&mut BufReader::new(stream)).unwrap().start_line.contains(" 400 "));
-    // To restore an endpoint that is not in maintenance is no change, and so no error.
+    // Restoring an endpoint that is not in maintenance changes nothing and is not an error.
     assert_eq!(sender.management_status("POST", "/maintenance/exit", "s-1"), 200);
 }
 
-/// Guards against callers that block others: far more of them than there are connection slots send nothing.
+/// Guards against callers that send nothing and block others. There are 60 of them, far more than there are
+/// connection slots.
 #[test]
 fn silent_callers_block_no_other_and_are_disconnected() {
     let environment = Environment::new(vec![OK]);
@@ -59,7 +61,8 @@
     }
 }
 
-/// Guards against metrics that are absent before their first count, or count twice or not at all.
+/// Guards against metrics that are missing before their first count, and against outcomes or attempts that
+/// are counted twice or not at all.
 #[test]
 fn each_message_is_counted_once_by_its_outcome() {
     let environment = Environment::new(vec![
@@ -81,15 +84,15 @@
     sender.await_metric("passed.notice", 2);
     sender.await_metric("in_progress", 0);
     assert_eq!(metrics(), [2, 0, 0, 3, 0]);
-    // Ended without a delivery, and without a notice.
+    // The platform has ended this message: it is not delivered and gets no notice.
     assert_eq!(sender.submit("m3", 20_000, "x"), ACCEPTED);
     sender.await_metric("bad_gateway.notice", 1);
-    // Without an answer it stays in progress, is retried while time is left, and then fails: it may have
-    // taken effect.
+    // A message without an answer stays in progress and is retried while time is left. Then it fails, because
+    // it may have taken effect.
     assert_eq!(sender.submit("m4", 1_500, "x"), ACCEPTED);
     let start = Instant::now();
     while sender.metric("upstream_tries") < 5 {
-        assert!(start.elapsed() < TIMEOUT, "it is called");
+        assert!(start.elapsed() < TIMEOUT, "the message is not retried");
     }
     assert_eq!(sender.metric("in_progress"), 1);
     assert_eq!(environment.discovery.next_notice()["result"], "dead");
@@ -97,7 +100,7 @@
     let calls = environment.endpoint.calls.try_iter().count() as u64;
     assert!(calls >= 5, "{calls}");
     assert_eq!(metrics(), [2, 0, 2, calls, 0]);
-    // Never attempted: its endpoint drains until the message's deadline.
+    // This message is never attempted: its endpoint drains until the message's deadline.
     environment.discovery.publish(vec![endpoint_line("s-1", environment.endpoint.address, 7, "draining")]);
     sender.await_metric("skipped_endpoints", 1);
     assert_eq!(sender.submit("m5", 500, "x"), ACCEPTED);
@@ -107,8 +110,8 @@
     assert_eq!(metrics(), [2, 1, 2, calls, 0]);
 }
 
-/// Guards against calls to an endpoint in maintenance: whatever discovery lists, however often the operator
-/// called, and though the process was killed.
+/// Guards against calls to an endpoint in maintenance after the operator has repeated the command, discovery
+/// has removed the endpoint and listed it again, or the process has been killed.
 #[test]
 fn endpoint_in_maintenance_gets_no_calls_until_it_is_restored() {
     let environment = Environment::new(vec![OK]);
@@ -126,7 +129,7 @@
     sender.await_metric("known_endpoints", 1);
     sender.await_metric("skipped_endpoints", 1);
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
-    // A recovered message waits 0.9 s at most before it is sent.
+    // A recovered message is sent after at most 0.9 s.
     std::thread::sleep(Duration::from_millis(1_200));
     assert!(environment.endpoint.has_no_call());
     assert_eq!(sender.management_status("POST", "/maintenance/exit", "s-1"), 200);
@@ -137,8 +140,8 @@
     sender.await_metric("skipped_endpoints", 0);
 }
 
-/// Guards against clients that stay with a sender on standby, against answers that are lost in the
-/// transition, and against a sender that does not become active again.
+/// Guards against clients that stay connected to a sender on standby, against answers that are lost in the
+/// transition to standby, and against a sender that does not become active again.
 #[test]
 fn standby_sender_closes_client_connections_and_becomes_active_again() {
     let environment = Environment::new(vec![OK]);
@@ -159,14 +162,14 @@
     let start = Instant::now();
     assert!(health().contains(" 503 "));
     assert_eq!(sender.management_status("GET", "/status", ""), 503);
-    assert!(read_message(&mut idle).is_none(), "an idle connection is closed");
+    assert!(read_message(&mut idle).is_none(), "the idle connection was not closed");
     partial.write_all(second_part).unwrap();
     let mut partial = BufReader::new(partial);
-    let answer = read_message(&mut partial).expect("a request that was begun is answered");
+    let answer = read_message(&mut partial).expect("the partially sent request was not answered");
     assert_eq!((answer.start_line.as_str(), answer.headers["connection"].as_str()), (ACCEPTED, "close"));
     assert!(read_message(&mut partial).is_none());
-    // The front notices only after a while: a request that still comes is served, and a silent connection is
-    // closed.
+    // The load balancer in front notices the standby only after a while: requests that still arrive are
+    // served, and connections that send nothing are closed.
     let silent = sender.connect();
     assert_eq!(sender.submit("m3", 20_000, "x"), ACCEPTED);
     assert!(read_message(&mut BufReader::new(silent)).is_none());
@@ -180,7 +183,7 @@
     assert_eq!(sender.submit("m4", 20_000, "x"), ACCEPTED);
 }
 
-/// Guards against a process that an operator activates though it is about to end.
+/// Guards against an operator activating a process that is about to exit.
 #[test]
 fn terminating_sender_does_not_become_active_again() {
     let environment = Environment::new(vec![Reply::NoAnswer]);
--- a/crates/message-sender/tests/scale.rs
+++ b/crates/message-sender/tests/scale.rs
@@ -11,18 +11,18 @@
 use support::environment::StateDirectory;
 use support::sender_process::SenderProcess;
 
-/// Guards against idle clients that come all at once and take the descriptors with which discovery would be
-/// polled again.
+/// Guards against idle clients that connect all at once and use up the file descriptors which the sender
+/// needs to poll discovery again.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery() {
     let state = StateDirectory::create();
     let endpoint = Endpoint::start(vec![OK]);
-    // The discovery server is down at first, and the sender knows no list.
+    // The discovery server does not answer at first, and the sender has no endpoint list.
     let discovery = Discovery::start_unresponsive();
     let options = SenderOptions { max_descriptors: 128, ..SenderOptions::default() };
     let sender = SenderProcess::start(&state.path, &discovery, Vec::new(), &options);
     discovery.next_list_request();
-    // All of them wait to be accepted when the sender resumes.
+    // While the sender is suspended, all connections queue up to be accepted at once.
     sender.suspend();
     let idle: Vec<TcpStream> = (0..120).map(|_| sender.connect()).collect();
     sender.resume();
@@ -35,17 +35,18 @@
     assert_eq!(endpoint.next_call().message_id(), "m1");
     drop(idle);
     let failures = sender.log.try_iter().filter(|line| line.contains("was not accepted")).count();
-    assert_eq!(failures, 0, "descriptors were always left");
+    assert_eq!(failures, 0, "the sender failed to accept connections");
 }
 
-/// Guards against a cap on the endpoint list or on the number of senders, also with long names and indented
-/// lists.
+/// Guards against a hidden limit on the size of the endpoint list or on the number of senders, also with long
+/// names and an indented list.
 #[test]
 fn thousand_endpoints_are_served_by_one_of_a_thousand_senders() {
     let state = StateDirectory::create();
     let endpoint = Endpoint::start(vec![OK]);
     let name = |number| format!("s-{number}-{}", "x".repeat(200));
-    // Destinations 0 to 1,023, of which 7 is called here.
+    // The list has one endpoint for each of the destinations 0 to 1,023; the test submits only to
+    // destination 7.
     let lines =
         (0..1_024).map(|number| endpoint_line(&name(number), endpoint.address, number, "up")).collect();
     let discovery = Discovery::start(lines);
--- a/crates/message-sender/tests/submission.rs
+++ b/crates/message-sender/tests/submission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a submission before any call: validation, withdrawal, repetition, and a full buffer.
+//! How submissions are handled before any call: validation, withdrawal, resubmission and a full buffer.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::endpoint::{Reply, OK};
 use support::environment::Environment;
 
-/// Guards against invalid input that reaches the controller or an endpoint.
+/// Guards against invalid requests that reach the controller or an endpoint.
 #[test]
 fn invalid_requests_are_rejected_and_never_forwarded() {
     let environment = Environment::new(vec![OK]);
@@ -40,8 +40,8 @@
     assert!(environment.endpoint.has_no_call());
 }
 
-/// Guards against sending a message that its client withdrew by closing before the answer. The sender is
-/// suspended meanwhile, so that it finds the request and the end of the connection together.
+/// Guards against sending a message that its client withdrew by closing the connection before the answer. The
+/// sender is suspended meanwhile, so that it sees the request and the end of the connection at once.
 #[test]
 fn client_that_closes_before_its_answer_withdraws_the_message() {
     let environment = Environment::new(vec![OK]);
@@ -56,6 +56,7 @@
     assert!(environment.endpoint.has_no_call());
 }
 
+/// Guards against sending a message a second time because its client submitted it again under the same id.
 #[test]
 fn message_submitted_twice_under_one_id_is_accepted_once() {
     let environment = Environment::new(vec![Reply::NoAnswer]);
@@ -67,8 +68,8 @@
     assert_eq!(environment.endpoint.next_call().message_id(), "m2");
 }
 
-/// Guards against a tenant that floods the buffer at the cost of the others: the client names its tenant, and
-/// messages beyond its quota are shed first.
+/// Guards against a tenant that fills the buffer at the expense of others: each request names its tenant, and
+/// messages beyond the tenant's quota must be shed first.
 #[test]
 fn full_buffer_sheds_messages_beyond_their_tenants_quota() {
     let environment = Environment::with_options(
@@ -78,10 +79,10 @@
     let sender = environment.start_sender();
     assert_eq!(sender.submit("m1", 20_000, "x"), ACCEPTED);
     environment.endpoint.next_call();
-    // The quota allows one message in a long time.
+    // The tenant's quota is so low that it allows only one message during the test.
     for id in ["within", "beyond"] {
         let text = submission(id, 20_000, "x").replace("X-Budget", "X-Caller: small\r\nX-Budget");
-        assert_eq!(sender.request(&text).expect("an answer").start_line, ACCEPTED);
+        assert_eq!(sender.request(&text).expect("the sender did not answer").start_line, ACCEPTED);
     }
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     assert_eq!(environment.discovery.next_notice()["ref"], "beyond");
