--- a/crates/delivery-control/src/admission.rs
+++ b/crates/delivery-control/src/admission.rs
@@ -1,16 +1,19 @@
 //! Admission control: tenant quotas, the value of a message, and load shedding when the buffer is nearly
 //! full.
 
-use crate::model::{Context, Message, Shed, TenantQuotas, View, SECOND};
+use crate::model::{Context, Message, ShedCandidate, TenantQuotas, View, SECOND};
 use crate::{MessageSubmission, Micros, ValueDecay};
 
-const SHED_THRESHOLD: f64 = 0.97; // Fraction of the buffer capacity above which load is shed
-const QUOTA_BURST_SECONDS: f64 = 2.0; // Capacity of a tenant's token bucket, in seconds of its quota
-const LATEST_DEADLINE: Micros = Micros::MAX / 4; // In µs; sums with later times might overflow
+/// Fraction of the buffer capacity above which load is shed.
+const SHED_THRESHOLD: f64 = 0.97;
+/// Capacity of a tenant's token bucket, in seconds of its quota.
+const QUOTA_BURST_SECONDS: f64 = 2.0;
+/// Latest deadline of a message, in µs; sums with later times might overflow.
+const LATEST_DEADLINE: Micros = Micros::MAX / 4;
 
 impl TenantQuotas {
-    /// Takes a token from the tenant's bucket, if one is left. Returns the factor for the message's value:
-    /// beyond the quota, that is the setting `over_quota_value`.
+    /// Takes a token from the tenant's bucket, if one is left. Returns the factor for the message's value;
+    /// it is the setting `over_quota_value` if no token is left.
     fn take_token(&mut self, context: Context, tenant: Option<usize>) -> f64 {
         let index = tenant.unwrap_or(usize::MAX);
         let Some(tenant) = context.settings.tenants.get(index) else { return 1.0 };
@@ -66,7 +69,7 @@
     /// its expected delivery, so that messages for healthy destinations still find room. This can cost
     /// deliveries when a long outage is about to end. Messages that may have taken effect, and recovered
     /// messages without an attempt, are never shed.
-    pub fn next_to_shed(&self) -> Option<Shed> {
+    pub fn next_to_shed(&self) -> Option<ShedCandidate> {
         let messages = &self.state.messages;
         let threshold = (self.context.settings.limits.buffer_capacity as f64 * SHED_THRESHOLD) as usize;
         if messages.len() <= threshold.max(1) {
@@ -79,10 +82,11 @@
                 let message = &messages[id];
                 let value = value_at(self.context, message, self.context.now + retry_after);
                 let is_exempt = message.first_ambiguous.is_some() || message.recovered_unattempted;
-                let is_lowest =
-                    lowest.as_ref().is_none_or(|lowest: &Shed| value.total_cmp(&lowest.value).is_lt());
+                let is_lowest = lowest
+                    .as_ref()
+                    .is_none_or(|lowest: &ShedCandidate| value.total_cmp(&lowest.value).is_lt());
                 if is_lowest && !is_exempt {
-                    lowest = Some(Shed { id, retry_after, value });
+                    lowest = Some(ShedCandidate { id, retry_after, value });
                 }
             }
         }
--- a/crates/delivery-control/src/controller.rs
+++ b/crates/delivery-control/src/controller.rs
@@ -111,7 +111,7 @@
     match event {
         Event::EndpointsUpdated { update, entries, .. } => turn.update_endpoints(*update, entries),
         Event::Maintenance { endpoint, command } => {
-            endpoints::maintain(turn.context, turn.state, *endpoint, *command);
+            endpoints::apply_maintenance(turn.context, turn.state, *endpoint, *command);
         }
         Event::MessageSubmitted(submission) => turn.admit(submission),
         Event::MessageRecovered { id, attempts, first_ambiguous } => {
--- a/crates/delivery-control/src/diagnostics.rs
+++ b/crates/delivery-control/src/diagnostics.rs
@@ -8,9 +8,10 @@
 use crate::model::{Destination, Health, View, SECOND};
 use crate::{DestinationId, EndpointId, Micros};
 
-/// Minimum time between reports, so that a long outage does not flood the log.
+/// Minimum time between reports in µs, so that a long outage does not flood the log.
 const REPORT_INTERVAL: Micros = 5 * SECOND;
-/// Maximum number of destinations that are reported at a time: those with the longest backlogs say enough.
+/// Maximum number of destinations that are reported at a time. Those with the longest backlogs are enough to
+/// find the cause.
 const MAX_REPORTED_DESTINATIONS: usize = 4;
 
 /// Reports the longest backlogs whose oldest message is past its latency objective.
--- a/crates/delivery-control/src/dispatch.rs
+++ b/crates/delivery-control/src/dispatch.rs
@@ -1,19 +1,20 @@
 //! Dispatch: which message is sent next, and to which endpoint.
 
-use crate::model::{CallId, Candidate, Choice, Context, Eligibility, Health, Message};
+use crate::model::{CallId, Context, DispatchCandidate, Eligibility, EndpointChoice, Health, Message};
 use crate::model::{State, View, SECOND};
 use crate::{admission::value_at, endpoints::UNKNOWN_LATENCY, retry};
 use crate::{Action, DestinationId, EndpointId, MessageId, Micros};
 
-/// Latency in µs that a unit of cost counts as in the choice of an endpoint.
+/// Latency in µs that is equivalent to a unit of cost in the choice of an endpoint.
 const LATENCY_PER_COST: f64 = 20e6;
-/// Latency in µs that each consecutive failure counts as in the choice of an endpoint.
+/// Latency in µs that is equivalent to one consecutive failure in the choice of an endpoint.
 const LATENCY_PER_FAILURE: f64 = 4e6;
-/// Bounds in µs of the time for which a message is expected to use its permit. The upper one also applies
-/// where no endpoint is available.
+/// Upper bound in µs of the time for which a message is expected to use its permit; also assumed if no
+/// endpoint is available.
 const MAX_PERMIT_TIME: f64 = 10.0 * UNKNOWN_LATENCY;
+/// Lower bound in µs of the time for which a message is expected to use its permit.
 const MIN_PERMIT_TIME: f64 = UNKNOWN_LATENCY / 8.0;
-/// Time in µs for which slow-start calls that were not made may be made up for.
+/// How far back, in µs, a slow start may make up for calls that it did not make.
 const SLOW_START_CREDIT: Micros = SECOND;
 
 /// Sends the messages that are eligible, and cancels attempts to free permits.
@@ -25,9 +26,9 @@
 }
 
 impl Dispatcher<'_> {
-    /// Sends the eligible messages, the most urgent first, of all destinations that changed, whose wake-up
-    /// is due, or that waited for a permit while one is free. Returns when an attempt may next be cancelled
-    /// to free its permit, if messages wait for one.
+    /// Sends the eligible messages, the most urgent first, of all destinations that are dirty, whose
+    /// scheduled check is due, or that waited for a permit if one is free. Returns when an attempt may next
+    /// be cancelled to free its permit, if messages wait for one.
     pub fn run(&mut self) -> Option<Micros> {
         let limits = &self.context.settings.limits;
         self.state.wake_ups.release_due(self.context.now);
@@ -50,7 +51,7 @@
         self.state.view(self.context)
     }
 
-    /// Sends a message to the cheapest endpoint that it is eligible for, or schedules the next look at its
+    /// Sends a message to the cheapest endpoint that it is eligible for, or schedules the next check of its
     /// destination.
     fn dispatch(&mut self, id: MessageId) {
         let destination = self.state.messages[id].destination;
@@ -67,18 +68,18 @@
 
     /// Sends a message in a call of this turn that has room for it, or else in a new one.
     fn send(&mut self, id: MessageId, to: EndpointId) {
-        let chance = self.random.f64();
+        let jitter_sample = self.random.f64();
         let message = &self.state.messages[id];
         let timeout = retry::timeout(self.context, message, &self.state.endpoints[to]);
         let begin_by = retry::latest_start(self.context, message);
         let joined = self.state.in_flight.join_batch(to);
-        let call = joined.unwrap_or_else(|| self.start_call(to, chance));
+        let call = joined.unwrap_or_else(|| self.start_call(to, jitter_sample));
         self.state.record_attempt(self.context, id, to, call);
         self.actions.push(Action::Send { id, endpoint: to, timeout, begin_by });
     }
 
     /// Starts a call, and updates the endpoint's connections and health and the route's rate limit.
-    fn start_call(&mut self, to: EndpointId, chance: f64) -> CallId {
+    fn start_call(&mut self, to: EndpointId, jitter_sample: f64) -> CallId {
         let now = self.context.now;
         let call = self.state.in_flight.start_call(to, now);
         let health = self.view().health_after_call(to, call);
@@ -89,7 +90,7 @@
         let free = if health == Health::Healthy { endpoint.batch_size - 1 } else { 0 };
         let route = endpoint.route;
         self.state.in_flight.open_batch(to, call, free);
-        self.state.endpoints.rate_limit_mut(route).record_call(now, chance);
+        self.state.endpoints.rate_limit_mut(route).record_call(now, jitter_sample);
         call
     }
 
@@ -108,7 +109,7 @@
 
 impl View<'_> {
     /// Adds the waiting messages of a destination, with their urgencies.
-    fn add_candidates(&self, id: DestinationId, candidates: &mut Vec<Candidate>) {
+    fn add_candidates(&self, id: DestinationId, candidates: &mut Vec<DispatchCandidate>) {
         let Some(destination) = self.state.endpoints.destination(id) else { return };
         let later = self.context.now + self.expected_wait(destination);
         let latencies = destination.endpoints.iter().map(|id| self.state.endpoints[*id].latency);
@@ -116,7 +117,7 @@
         for &id in &destination.waiting {
             let message = &self.state.messages[id];
             let urgency = self.urgency(id, message, later, permit_time);
-            candidates.push(Candidate { id, urgency, objective_at: message.objective_at });
+            candidates.push(DispatchCandidate { id, urgency, objective_at: message.objective_at });
         }
     }
 
@@ -134,9 +135,10 @@
         (loss(message) + held_up) / permit_time
     }
 
-    /// Picks the cheapest endpoint that the message is eligible for, and notes what the others wait for.
-    fn choose(&self, id: MessageId, destination: DestinationId) -> Choice {
-        let mut choice = Choice::default();
+    /// Chooses the cheapest endpoint that the message is eligible for. If there is none, the choice says
+    /// when to check again.
+    fn choose(&self, id: MessageId, destination: DestinationId) -> EndpointChoice {
+        let mut choice = EndpointChoice::default();
         let mut eligible = Vec::new();
         for &endpoint in self.state.endpoints.available(destination) {
             match self.eligibility(id, endpoint) {
--- a/crates/delivery-control/src/eligibility.rs
+++ b/crates/delivery-control/src/eligibility.rs
@@ -1,10 +1,11 @@
-//! Decides whether a message may be sent to an endpoint now. Every attempt passes this check before it is
-//! sent, so that the delivery rules hold by construction.
+//! Eligibility: whether a message may be sent to an endpoint now. Every attempt passes this check before it
+//! is sent, so that the delivery rules hold by construction.
 
 use crate::model::{Eligibility, Endpoint, Health, Message, RateLimit, RouteKey, View};
 use crate::{retry, EndpointId, Idempotency, IdempotencyScope, MessageId, Micros};
 
-const DESTINATION_SHARE: f64 = 0.6; // Fraction of the concurrency limit that one destination may use
+/// Fraction of the concurrency limit that one destination may use.
+const DESTINATION_SHARE: f64 = 0.6;
 
 impl View<'_> {
     /// Whether a message may be sent to an endpoint now, and if not, what it waits for. A message that
--- a/crates/delivery-control/src/endpoints.rs
+++ b/crates/delivery-control/src/endpoints.rs
@@ -4,9 +4,10 @@
 use crate::model::{Context, Ejection, Endpoint, Health, RateLimit, RouteKey, State, SECOND};
 use crate::{EndpointEntry, EndpointId, ListingState, MaintenanceCommand, Micros, UpdateKind};
 
-pub(crate) const UNKNOWN_LATENCY: f64 = 400_000.0; // In µs; assumed for an endpoint without a delivery yet
-/// How long the outage of a departed endpoint is remembered, in µs: it gets no calls that could end the
-/// outage.
+/// Latency in µs that is assumed for an endpoint without a delivery yet.
+pub(crate) const UNKNOWN_LATENCY: f64 = 400_000.0;
+/// How long the outage of a departed endpoint is remembered, in µs. It would otherwise be remembered forever,
+/// since a departed endpoint gets no calls that could end it.
 const DEPARTED_OUTAGE_MEMORY: Micros = 60 * SECOND;
 
 /// Applies an endpoint list, or changes to it.
@@ -20,7 +21,7 @@
     forget_departed(context, state);
 }
 
-/// Applies one line of an endpoint list to its endpoint and the endpoint's route.
+/// Applies one entry of an endpoint list to its endpoint and the endpoint's route.
 fn apply_entry(context: Context, state: &mut State, entry: &EndpointEntry) {
     let &EndpointEntry { endpoint: id, destination, zone, listing, .. } = entry;
     let kind = context.settings.kinds.get(entry.kind);
@@ -52,7 +53,12 @@
 /// Applies a maintenance command of an operator. A drained endpoint stays unavailable whatever the endpoint
 /// list says. It is restarted in the meantime, which is an outage: when restored, it gets one probe, and
 /// then a slow start.
-pub(crate) fn maintain(context: Context, state: &mut State, id: EndpointId, command: MaintenanceCommand) {
+pub(crate) fn apply_maintenance(
+    context: Context,
+    state: &mut State,
+    id: EndpointId,
+    command: MaintenanceCommand,
+) {
     if command == MaintenanceCommand::Drain {
         state.endpoints.drain_manually(id, context.now);
     } else if let Some(since) = state.endpoints.end_manual_drain(id) {
@@ -76,6 +82,7 @@
     state.endpoints.drop_unused_destinations();
 }
 
+/// Whether the state of a departed endpoint is still needed.
 fn must_remember(context: Context, state: &State, id: EndpointId, departed_at: Micros) -> bool {
     let Some(endpoint) = state.endpoints.get(id) else { return false };
     let rate_limit = state.endpoints.rate_limit(endpoint.route);
--- a/crates/delivery-control/src/estimates.rs
+++ b/crates/delivery-control/src/estimates.rs
@@ -12,15 +12,18 @@
 /// Without a known limit, the estimated capacity is this multiple of the demand: little more than it, as
 /// the route has met the demand so far.
 const UNLIMITED_CAPACITY: f64 = 1.05;
-const MIN_CAPACITY: f64 = 0.5; // Minimum of a route's estimated capacity, in calls per second of all senders
-const DEMAND_PRIOR: f64 = 1.0; // Weight of the average destination in the estimate of demand, in messages
+/// Minimum of a route's estimated capacity, in calls per second of all senders.
+const MIN_CAPACITY: f64 = 0.5;
+/// Weight of the average destination in the estimate of demand, in messages.
+const DEMAND_PRIOR: f64 = 1.0;
 /// Minimum time in µs over which demand is averaged, so that a burst is not taken for steady demand.
 const DEMAND_SPAN: Micros = 5 * SECOND;
-const MAX_WAIT: f64 = 29e6; // Upper bound of an expected wait in µs, also assumed without an endpoint
+/// Upper bound in µs of the expected wait for an endpoint; also assumed if none is available.
+const MAX_WAIT: f64 = 29e6;
 
 impl View<'_> {
     /// Messages per second by which a destination's backlog has grown since its oldest message was
-    /// submitted. At first, a new process knows nothing else of the demand.
+    /// submitted. A new process has no other measure of the demand at first.
     fn backlog_growth(&self, destination: &Destination) -> f64 {
         let oldest = destination.waiting.first().and_then(|id| self.state.messages.get(*id));
         let Some(oldest) = oldest else { return 0.0 };
@@ -102,7 +105,7 @@
         SECOND + waits.fold(MAX_WAIT, f64::min) as Micros
     }
 
-    /// Expected wait in µs until an endpoint has taken a backlog of so many messages.
+    /// Expected time in µs until all messages of a destination's `backlog` have been sent to this endpoint.
     fn endpoint_wait(&self, endpoint: &Endpoint, backlog: f64) -> f64 {
         match endpoint.health_now(self.context) {
             // The outage is expected to last as long again as it has lasted so far.
--- a/crates/delivery-control/src/event.rs
+++ b/crates/delivery-control/src/event.rs
@@ -9,11 +9,11 @@
 pub enum AttemptOutcome {
     /// The endpoint accepted the message.
     Delivered,
-    /// The endpoint answered with an error; the message may have taken effect.
+    /// The endpoint responded with an error; the message may have taken effect.
     Error,
     /// The endpoint rejected the message without processing it, for example because of a rate limit.
     Rejected,
-    /// No answer arrived before the timeout; the message may have taken effect.
+    /// No response arrived before the timeout; the message may have taken effect.
     Timeout,
     /// No connection was established; the message was never sent.
     ConnectFailed,
@@ -26,9 +26,9 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the endpoint answered.
+    /// Whether the endpoint responded.
     #[must_use]
-    pub fn is_answer(self) -> bool {
+    pub fn is_response(self) -> bool {
         matches!(self, Self::Delivered | Self::Error | Self::Rejected)
     }
 
@@ -168,7 +168,7 @@
     pub is_final: bool,
     /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
-    /// The load report that came with the answer.
+    /// The load report that came with the response.
     pub load_report: Option<LoadReport>,
 }
 
@@ -246,7 +246,7 @@
         outcome: AttemptOutcome,
         /// Time from the start of the probe to its end.
         elapsed: Micros,
-        /// The load report that came with the answer.
+        /// The load report that came with the response.
         load_report: Option<LoadReport>,
     },
     /// Another sender sent a note.
--- a/crates/delivery-control/src/health.rs
+++ b/crates/delivery-control/src/health.rs
@@ -4,9 +4,10 @@
 use crate::model::{Context, Endpoint, Health, SECOND};
 use crate::Micros;
 
-/// An endpoint is unresponsive after this multiple of its average latency without an answer.
-const UNRESPONSIVE_LATENCIES: f64 = 6.0;
-const MIN_UNRESPONSIVE: Micros = 1_500_000; // Lower bound of that time in µs
+/// An endpoint is unresponsive after this multiple of its average latency without a response.
+const RESPONSE_TIMEOUT_LATENCIES: f64 = 6.0;
+/// Lower bound in µs of the time without a response after which an endpoint is unresponsive.
+const MIN_RESPONSE_TIMEOUT: Micros = 1_500_000;
 /// An outage leaves an endpoint cold if it had no delivery for this long, in µs.
 const COLD_AFTER: Micros = 3 * SECOND;
 /// Upper bound in µs of the time without a delivery, since an outage is not assumed to have begun long
@@ -33,9 +34,9 @@
         now - undetected_time
     }
 
-    /// A call without an answer for this long, in µs, means that the endpoint is unresponsive.
+    /// A call without a response for this long, in µs, means that the endpoint is unresponsive.
     pub fn response_timeout(&self) -> Micros {
-        MIN_UNRESPONSIVE.max((self.latency * UNRESPONSIVE_LATENCIES) as Micros)
+        MIN_RESPONSE_TIMEOUT.max((self.latency * RESPONSE_TIMEOUT_LATENCIES) as Micros)
     }
 
     /// Current health: a slow start ends once the warm-up time has passed.
--- a/crates/delivery-control/src/invariants.rs
+++ b/crates/delivery-control/src/invariants.rs
@@ -12,7 +12,7 @@
 use crate::ids::{DestinationId, MessageId, Micros};
 use crate::settings::{Idempotency, IdempotencyScope};
 
-/// Allowed time in µs from a decision to the first byte, since the process may be held up in between.
+/// Allowed time in µs from a decision to the first byte, since the process may be delayed in between.
 const MAX_SEND_DELAY: Micros = 200_000;
 /// The platform counts a message as lost this long after its deadline, in µs.
 const END_GRACE: Micros = 300_000;
@@ -62,7 +62,7 @@
     ];
 }
 
-/// What the guard is told about a message when that is accepted or recovered.
+/// What the guard is told about a message when the message is accepted or recovered.
 #[derive(Debug, Clone)]
 pub struct GuardedMessage {
     /// The destination of the message.
@@ -73,11 +73,11 @@
     pub idempotency: Idempotency,
     /// Which endpoints share the record of idempotency keys.
     pub idempotency_scope: IdempotencyScope,
-    /// How long repeats are dropped, in µs from the first ambiguous attempt on.
+    /// How long repeats are ignored, in µs from the first ambiguous attempt on.
     pub idempotency_window: Micros,
     /// The order key, if the message is ordered.
     pub order_key: Option<String>,
-    /// The first attempt that may have taken effect; at the start, one of an earlier process.
+    /// The first attempt that may have taken effect; initially one of an earlier process, if there was one.
     pub first_ambiguous: Option<AmbiguousAttempt>,
 }
 
--- a/crates/delivery-control/src/model/choice.rs
+++ b/crates/delivery-control/src/model/choice.rs
@@ -44,9 +44,9 @@
 }
 
 /// A message that waits to be sent, with the values that determine its rank among others.
-pub(crate) struct Candidate {
+pub(crate) struct DispatchCandidate {
     pub id: MessageId,
-    /// Value that is lost by waiting, divided by the µs for which the message would use a permit.
+    /// Value that is lost by waiting, divided by the µs for which the message is expected to use its permit.
     pub urgency: f64,
     /// When the message's latency objective ends; breaks ties.
     pub objective_at: Micros,
@@ -54,7 +54,7 @@
 
 /// The choice of an endpoint for a message.
 #[derive(Default)]
-pub(crate) struct Choice {
+pub(crate) struct EndpointChoice {
     /// The cheapest endpoint to which the message may be sent now.
     pub endpoint: Option<EndpointId>,
     /// Earliest time at which one of the endpoints that are not eligible yet may become eligible.
@@ -63,8 +63,8 @@
     pub lacks_permit: bool,
 }
 
-/// A message to shed: to reject before its deadline.
-pub(crate) struct Shed {
+/// A message that may be shed, which means that it is rejected before its deadline.
+pub(crate) struct ShedCandidate {
     pub id: MessageId,
     /// Time after which its destination is expected to have worked off its backlog.
     pub retry_after: Micros,
@@ -72,7 +72,8 @@
     pub value: f64,
 }
 
-/// An attempt that looks stuck.
+/// An attempt that gets no response although its endpoint has responded to others since, or whose endpoint is
+/// ejected.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StuckAttempt {
     /// Time after which the attempt may be cancelled.
--- a/crates/delivery-control/src/model/endpoint.rs
+++ b/crates/delivery-control/src/model/endpoint.rs
@@ -23,7 +23,7 @@
     /// Estimated start of the outage.
     pub since: Micros,
     /// Whether the outage is certain: a call failed or was rejected, or an operator drained the endpoint.
-    /// `false` if calls have merely had no answer yet.
+    /// `false` if calls have merely had no response yet.
     pub confirmed: bool,
     /// Latest interval between probes, before jitter; 0 if there has been no interval yet.
     pub probe_interval: Micros,
@@ -35,7 +35,7 @@
 
 impl Ejection {
     /// An ejection for an outage that is not confirmed. `call` is the failed or rejected call that revealed
-    /// the outage, and takes the place of a probe; it is `None` if calls had no answer.
+    /// the outage, and takes the place of a probe; it is `None` if calls had no response.
     pub fn suspected(since: Micros, call: Option<CallId>) -> Self {
         Self { since, confirmed: false, probe_interval: 0, next_probe_at: since, probe: call }
     }
@@ -96,11 +96,11 @@
     pub listing: ListingState,
     /// Whether it is listed as live and not drained by an operator.
     pub available: bool,
-    /// Moving average, in µs, of the time from sending a call to its delivery.
+    /// Moving average in µs of the time from sending a call to its delivery.
     pub latency: f64,
-    /// Number of failures since the last delivery.
+    /// Number of failures since the last delivery. Timeouts of calls that were merely slow do not count.
     pub consecutive_failures: u32,
-    /// When the latest answer arrived.
+    /// When the latest response arrived.
     pub answered_at: Option<Micros>,
     /// When the latest delivery was confirmed.
     pub delivered_at: Option<Micros>,
@@ -110,8 +110,8 @@
 }
 
 impl Endpoint {
-    /// Records that an answer arrived and its connection is idle now.
-    pub fn record_answer(&mut self, now: Micros) {
+    /// Records that a response arrived and its connection is idle now.
+    pub fn record_response(&mut self, now: Micros) {
         self.answered_at = Some(now);
         self.idle_connections.push(now);
     }
--- a/crates/delivery-control/src/model/endpoints.rs
+++ b/crates/delivery-control/src/model/endpoints.rs
@@ -94,8 +94,8 @@
         self.destination_mut(destination).arrivals += 1.0;
     }
 
-    /// Subtracts a message that was counted.
-    pub fn discount_arrival(&mut self, destination: DestinationId) {
+    /// Takes back a count of [`Self::count_arrival`].
+    pub fn uncount_arrival(&mut self, destination: DestinationId) {
         self.arrivals -= 1.0;
         self.destination_mut(destination).arrivals -= 1.0;
     }
@@ -105,7 +105,7 @@
         self.arrivals / self.destinations.len().max(1) as f64
     }
 
-    /// Time in seconds over which messages have been counted, but at least `least`.
+    /// Time in seconds over which messages have been counted, but at least `least` µs.
     pub fn counted_seconds(&self, now: Micros, least: Micros) -> f64 {
         (now - self.counting_since.unwrap_or(now)).max(least) as f64 / SECOND as f64
     }
--- a/crates/delivery-control/src/model/message.rs
+++ b/crates/delivery-control/src/model/message.rs
@@ -71,7 +71,7 @@
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct MessageBuffer {
     messages: BTreeMap<MessageId, Message>,
-    /// In the order in which they are due.
+    /// Scheduled checks, the earliest first.
     end_checks: BTreeSet<EndCheck>,
 }
 
--- a/crates/delivery-control/src/model/mod.rs
+++ b/crates/delivery-control/src/model/mod.rs
@@ -11,7 +11,7 @@
 mod state;
 mod wake_ups;
 
-pub(crate) use choice::{Candidate, Choice, Eligibility, Shed, StuckAttempt};
+pub(crate) use choice::{DispatchCandidate, Eligibility, EndpointChoice, ShedCandidate, StuckAttempt};
 pub(crate) use endpoint::{Destination, Ejection, Endpoint, Health, RouteKey, SlowStart};
 pub(crate) use endpoints::Endpoints;
 pub(crate) use in_flight::{Attempt, AttemptKey, AttemptResult, CallId, InFlight};
--- a/crates/delivery-control/src/model/rate_limit.rs
+++ b/crates/delivery-control/src/model/rate_limit.rs
@@ -7,7 +7,7 @@
 /// The limit that a route reported.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct ReportedLimit {
-    /// In calls per second of all senders together.
+    /// The limit in calls per second of all senders together.
     pub limit: f64,
     /// Fraction of the limit that is left, from 0 to 1.
     pub remaining: f64,
@@ -24,7 +24,7 @@
     /// Lower estimate of the messages per second that this sender gets for the route.
     pub assured_demand: f64,
     /// Random number in [0, 1) for the jitter of the next permit.
-    pub chance: f64,
+    pub jitter_sample: f64,
 }
 
 /// Rate limit that this sender applies to one route.
@@ -44,7 +44,8 @@
     listed_limit: Option<f64>,
     /// The latest limit that the route reported.
     pub reported: Option<ReportedLimit>,
-    /// Rejections since the last delivery; those that the reported limit does not explain count more.
+    /// Number of rejections since the last delivery. A rejection that the reported limit does not explain
+    /// counts as half of the number that is taken for an outage.
     pub consecutive_rejections: u32,
     /// When the first of these rejections came.
     pub rejected_since: Micros,
@@ -84,9 +85,10 @@
     }
 }
 
-/// Learned over all routes: how far a first rejection must lower the rate of a route with few calls.
+/// How far a first rejection lowers the rate of a route with few calls; adapted to the outcomes of retries on
+/// all routes.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct RareCallRate {
-    /// Calls per second that remain after a first rejection, for each recent call on the route.
+    /// Calls per second to which a first rejection sets the rate, for each call in [`RateLimit::sent`].
     pub factor: f64,
 }
--- a/crates/delivery-control/src/outlier_detection.rs
+++ b/crates/delivery-control/src/outlier_detection.rs
@@ -5,16 +5,19 @@
 use crate::model::{AttemptResult, CallId, Context, Ejection, Health, Rejection, SlowStart, State, View};
 use crate::{model::SECOND, retry::jittered, AttemptOutcome, EndpointId, Micros};
 
-const LATENCY_GAIN: f64 = 0.2; // Weight of a new delivery's latency in the moving average
+/// Weight of a new delivery's latency in the moving average.
+const LATENCY_GAIN: f64 = 0.2;
 /// Consecutive failures that are taken for an outage; without a recent delivery, one is enough.
 const OUTAGE_FAILURES: u32 = 3;
-/// Bounds of the probe interval in µs, before jitter. With many senders, probes are further apart: see
+/// Initial probe interval in µs, before jitter. With many senders, probes are further apart: see
 /// [`OutlierDetection::eject`].
 const MIN_PROBE_INTERVAL: Micros = 600_000;
+/// Maximum of the growing probe interval in µs, before jitter.
 const MAX_PROBE_INTERVAL: Micros = 3 * SECOND;
-const PROBE_BACKOFF: f64 = 1.5; // Factor by which the interval grows with each failed probe
+/// Factor by which the probe interval grows with each failed probe.
+const PROBE_BACKOFF: f64 = 1.5;
 
-/// Updates the health of endpoints from the results of calls, and from calls that remain unanswered.
+/// Updates the health of endpoints from the results of calls, and from calls without a response.
 pub(crate) struct OutlierDetection<'a> {
     pub context: Context<'a>,
     pub state: &'a mut State,
@@ -28,16 +31,16 @@
 
     /// Applies the result of a call to its endpoint and to the rate limit of the endpoint's route.
     pub fn record_result(&mut self, result: &AttemptResult, rare_call_factor: f64) {
-        let chance = self.random.f64();
+        let jitter_sample = self.random.f64();
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
         let route = endpoint.route;
         let was_ejected = endpoint.health.is_ejected();
-        if result.outcome.is_answer() {
-            endpoint.record_answer(self.context.now);
+        if result.outcome.is_response() {
+            endpoint.record_response(self.context.now);
         }
         let is_outage = match result.outcome {
             AttemptOutcome::Delivered => return self.record_delivery(result),
-            AttemptOutcome::Rejected => self.record_rejection(result, rare_call_factor, chance),
+            AttemptOutcome::Rejected => self.record_rejection(result, rare_call_factor, jitter_sample),
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => false,
             _ => self.record_failure(result),
         };
@@ -54,14 +57,19 @@
 
     /// Applies a rejection to the route's rate limit; returns whether it looks like an outage, which then
     /// affects the whole route.
-    fn record_rejection(&mut self, result: &AttemptResult, rare_call_factor: f64, chance: f64) -> bool {
+    fn record_rejection(
+        &mut self,
+        result: &AttemptResult,
+        rare_call_factor: f64,
+        jitter_sample: f64,
+    ) -> bool {
         let endpoint = &self.state.endpoints[result.endpoint];
         let rejection = Rejection {
             retry_after: result.retry_after,
             sender_count: self.context.sender_count(),
             rare_call_factor,
             assured_demand: self.view().assured_demand(endpoint),
-            chance,
+            jitter_sample,
         };
         let route = endpoint.route;
         self.state.endpoints.rate_limit_mut(route).record_rejection(self.context.now, &rejection)
@@ -70,18 +78,19 @@
     /// Counts a failure; returns whether it looks like an outage.
     fn record_failure(&mut self, result: &AttemptResult) -> bool {
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return false };
-        // If the endpoint has answered since the call was sent, a timeout means a slow call, not an outage.
+        // If the endpoint has responded since the call was sent, a timeout means a slow call, not an outage.
         let is_slow =
             result.outcome == AttemptOutcome::Timeout && endpoint.answered_at >= Some(result.sent_at);
         endpoint.consecutive_failures += u32::from(!is_slow);
-        // Where calls are rare, one failure without a recent delivery is all the evidence there will be.
+        // Where calls are rare, further failures would come too late, so one without a recent delivery
+        // suffices.
         let threshold = if endpoint.lacks_recent_delivery(self.context.now) { 1 } else { OUTAGE_FAILURES };
         endpoint.consecutive_failures >= threshold
     }
 
     /// Ejects an endpoint, or keeps it ejected after a failed probe: its messages stay buffered, and it
     /// gets one probe at a time, at growing intervals. `call` is the one that failed or was rejected;
-    /// `None` if calls only remain unanswered.
+    /// `None` if calls have had no response yet.
     ///
     /// If each of many senders sent a message at once, they would overload an endpoint that recovers, or
     /// use up a limit that counts rejected calls. The probes of all senders together therefore keep to the
@@ -123,7 +132,7 @@
         let slow_start = self.slow_start(result.endpoint);
         let sender_count = self.context.sender_count();
         let rate_limit = self.state.endpoints.rate_limit_mut(route);
-        rate_limit.record_success(now, assured_demand, sender_count);
+        rate_limit.record_delivery(now, assured_demand, sender_count);
         rate_limit.apply_load_report(now, sender_count, self.random);
         let Some(endpoint) = self.state.endpoints.get_mut(result.endpoint) else { return };
         let is_cold = endpoint.lacks_recent_delivery(now);
@@ -134,11 +143,12 @@
         } else if result.sent_at >= ejection.since {
             endpoint.health = Health::SlowStart(slow_start);
             // Rejections during an outage say nothing about the limit, so from here on the slow start sets
-            // the rate. This covers hangs and queues that filled up during them; it can do harm where
-            // rejected calls use up a limit.
+            // the rate. This covers hangs and queues that filled up during them. Where rejected calls use up
+            // a limit, it may cause more rejections.
             self.state.endpoints.rate_limit_mut(route).rate = None;
         } else if ejection.probe.is_none() {
-            // Sent before the outage: no proof of recovery, only a reason for an early probe.
+            // The call was sent before the outage, so that its delivery does not prove recovery. It is only a
+            // reason for an early probe.
             ejection.next_probe_at = now;
         }
     }
@@ -156,7 +166,7 @@
         SlowStart { since: now, competing_senders, next_call_at }
     }
 
-    /// Ejects endpoints that leave calls unanswered, well before the calls time out, so that such calls do
+    /// Ejects endpoints that do not respond to calls, well before the calls time out, so that such calls do
     /// not use up all permits. Returns when the next check is due, if any.
     pub fn detect_unresponsive(&mut self) -> Option<Micros> {
         let mut unresponsive = Vec::new();
--- a/crates/delivery-control/src/rate_limit.rs
+++ b/crates/delivery-control/src/rate_limit.rs
@@ -1,39 +1,52 @@
-//! Client-side rate limit of a route: the rate grows with each success and is halved by rejections. The
+//! Client-side rate limit of a route: the rate grows with each delivery and is halved by rejections. The
 //! limit that the route lists or reports bounds these changes, and a Retry-After postpones the next call.
 
 use crate::model::{RareCallRate, RateLimit, Rejection, ReportedLimit, SECOND};
 use crate::{retry::JITTER, AttemptOutcome, Micros};
 
-const MIN_RATE: f64 = 0.75; // Minimum in calls per second of all senders together, since they share a limit
+/// Minimum rate in calls per second of all senders together, since they share a limit.
+const MIN_RATE: f64 = 0.75;
 /// A rejection does not lower the rate below this fraction of a known limit's fair share or of the assured
 /// demand, so that neither little traffic so far nor the rejections of an outage starve a route that
-/// recovers. The limit is disregarded once rejections go on.
+/// recovers. The limit is disregarded from [`OUTAGE_REJECTIONS`] consecutive rejections on.
 const FLOOR_SHARE: f64 = 0.4;
-const INCREASE: f64 = 0.04; // Minimum growth with each success, as a fraction of the rate
-const DOUBLING_SECONDS: f64 = 8.0; // Doubling time of the rate where calls are rare
-const RECOVERY_DOUBLING_SECONDS: f64 = 3.0; // Doubling time while below the assured demand
-const MAX_UNTESTED_GROWTH: f64 = 1.5; // The rate stops growing above this multiple of the last second's calls
+/// Minimum growth with each delivery, as a fraction of the rate.
+const MIN_INCREASE: f64 = 0.04;
+/// Doubling time of the rate in seconds, where calls are rare.
+const DOUBLING_SECONDS: f64 = 8.0;
+/// Doubling time of the rate in seconds while it is below the assured demand.
+const RECOVERY_DOUBLING_SECONDS: f64 = 3.0;
+/// The rate stops growing above this multiple of the last second's calls.
+const MAX_UNTESTED_GROWTH: f64 = 1.5;
 /// How long calls are remembered, in µs; a rate that has held back no call for this long is dropped.
 const HISTORY_SPAN: Micros = 8 * SECOND;
 /// Remaining fraction of a reported limit below which calls slow down even before a rejection.
 const LOW_REMAINING: f64 = 0.3;
 /// Remaining fraction of a reported limit from which on the limit does not explain a rejection.
 const AMPLE_REMAINING: f64 = 0.5;
-const EXHAUSTED_SHARE: f64 = 0.5; // Fraction of a reported fair share that is used while none of it is left
-/// This many consecutive rejections, over at least the span in µs, are taken for an outage instead of a
-/// limit.
+/// Fraction of this sender's fair share of a reported limit that is used while nothing of the limit is left.
+const EXHAUSTED_SHARE: f64 = 0.5;
+/// This many consecutive rejections, over at least [`OUTAGE_REJECTION_SPAN`], are taken for an outage instead
+/// of a limit.
 const OUTAGE_REJECTIONS: u32 = 4;
+/// Minimum time in µs over which consecutive rejections are taken for an outage.
 const OUTAGE_REJECTION_SPAN: Micros = 2 * SECOND;
-const OUTAGE_RETRY_AFTER: Micros = 3 * SECOND; // In µs; rate limits ask for less: it means an outage
-/// Where calls are rare, a first rejection sets the rate to this many calls per second for each call in the
-/// history. The factor adapts: it falls when the retry of a rejected message is rejected again, and rises
-/// when the retry is delivered.
+/// A rejection with a Retry-After of at least this, in µs, is taken for an outage: rate limits ask for less.
+const OUTAGE_RETRY_AFTER: Micros = 3 * SECOND;
+/// Initial value of [`RareCallRate::factor`]: where calls are rare, a first rejection sets the rate to this
+/// many calls per second for each call in the history. The factor adapts: it falls when the retry of a
+/// rejected message is rejected again, and rises when the retry is delivered.
 const INITIAL_RARE_CALL_FACTOR: f64 = 0.125;
+/// Minimum of [`RareCallRate::factor`].
 const MIN_RARE_CALL_FACTOR: f64 = 0.03;
+/// Maximum of [`RareCallRate::factor`].
 const MAX_RARE_CALL_FACTOR: f64 = 0.5;
-const RARE_CALL_DECREASE: f64 = 0.8; // Change of the factor when a retry is rejected again
-const RARE_CALL_INCREASE: f64 = 1.1; // Change of the factor when a retry is delivered
-const YIELD_SHARE: f64 = 0.8; // Fraction of 1 / factor seconds for which a rejected message yields to others
+/// Factor by which [`RareCallRate::factor`] changes when a retry is rejected again.
+const RARE_CALL_DECREASE: f64 = 0.8;
+/// Factor by which [`RareCallRate::factor`] changes when a retry is delivered.
+const RARE_CALL_INCREASE: f64 = 1.1;
+/// A rejected message yields to others for this fraction of 1 / [`RareCallRate::factor`] seconds.
+const YIELD_SHARE: f64 = 0.8;
 
 impl RateLimit {
     /// The limit for all senders together in calls per second, as last reported or else as listed.
@@ -78,18 +91,18 @@
         }
     }
 
-    /// Records a call and schedules the next permit; `chance` is a random number in [0, 1) for the jitter.
-    pub fn record_call(&mut self, now: Micros, chance: f64) {
+    /// Records a call and schedules the next permit; `jitter_sample` is a random number in [0, 1).
+    pub fn record_call(&mut self, now: Micros, jitter_sample: f64) {
         self.sent.retain(|at| now - at <= HISTORY_SPAN);
         self.sent.push(now);
         self.rate = self.rate.filter(|_| now - self.next_permit_at <= HISTORY_SPAN);
-        self.schedule_next_permit(now, chance);
+        self.schedule_next_permit(now, jitter_sample);
     }
 
     /// Schedules the next permit for one interval of the rate later on average, with jitter so that senders
-    /// do not synchronize.
-    fn schedule_next_permit(&mut self, from: Micros, chance: f64) {
-        let factor = 1.0 + JITTER * (2.0 * chance - 1.0);
+    /// do not synchronize. `jitter_sample` is a random number in [0, 1).
+    fn schedule_next_permit(&mut self, from: Micros, jitter_sample: f64) {
+        let factor = 1.0 + JITTER * (2.0 * jitter_sample - 1.0);
         let interval = self.rate.map_or(0.0, |rate| SECOND as f64 / rate * factor);
         self.next_permit_at = self.next_permit_at.max(from) + interval as Micros;
     }
@@ -106,7 +119,7 @@
     }
 
     /// Raises the rate after a delivery.
-    pub fn record_success(&mut self, now: Micros, assured_demand: f64, sender_count: f64) {
+    pub fn record_delivery(&mut self, now: Micros, assured_demand: f64, sender_count: f64) {
         self.consecutive_rejections = 0;
         let Some(rate) = self.rate else { return };
         let floored = rate.max(FLOOR_SHARE * assured_demand);
@@ -119,7 +132,7 @@
         self.rate = Some(increased);
     }
 
-    /// The rate after a success, in calls per second.
+    /// The rate after a delivery, in calls per second.
     fn increased(&self, now: Micros, rate: f64, assured_demand: f64) -> f64 {
         // A rate far above the recent calls has held nothing back and is untested. If it kept growing,
         // halving it would not bring it back down to the actual calls. Half a call is added because, where
@@ -130,7 +143,7 @@
         }
         // Calls may be rare, so each one accounts for the growth over a whole interval of the rate.
         let doubling = if rate < assured_demand { RECOVERY_DOUBLING_SECONDS } else { DOUBLING_SECONDS };
-        rate * 2f64.powf(1.0 / (doubling * rate)).max(1.0 + INCREASE)
+        rate * 2f64.powf(1.0 / (doubling * rate)).max(1.0 + MIN_INCREASE)
     }
 
     /// Applies a rejection; returns whether it looks like an outage rather than a limit.
@@ -169,7 +182,7 @@
         self.rate = Some(decreased.max(min_rate).max(floor).max(reported));
         self.decreased_at = Some(now);
         self.next_permit_at = now + rejection.retry_after;
-        self.schedule_next_permit(now, rejection.chance);
+        self.schedule_next_permit(now, rejection.jitter_sample);
     }
 }
 
--- a/crates/delivery-control/src/retry.rs
+++ b/crates/delivery-control/src/retry.rs
@@ -5,29 +5,38 @@
 use crate::model::{AttemptResult, Context, Endpoint, Message, SECOND};
 use crate::{Action, AmbiguousAttempt, AttemptOutcome, Idempotency, MessageId, Micros};
 
-/// Backoff in µs before the second attempt, and the factor by which it grows with each attempt that was
-/// sent: 200 ms, then 600 ms, as the design specifies.
+/// Backoff in µs before the second attempt, as the design specifies.
 const INITIAL_BACKOFF: Micros = 200_000;
+/// Factor by which the backoff grows with each attempt that was sent: 200 ms, then 600 ms, as the design
+/// specifies.
 const BACKOFF_MULTIPLIER: Micros = 3;
-const MAX_BACKOFF_EXPONENT: u32 = 9; // Bounds the growth: longer than any deadline, and far from overflow
-pub(crate) const JITTER: f64 = 0.5; // Jitter of waits as a fraction, to avoid synchronized attempts
-/// Attempts among which the time left is divided; attempts that never ran are followed by more.
+/// Maximum number of times that the backoff grows; it is then longer than any deadline, and far from
+/// overflow.
+const MAX_BACKOFF_EXPONENT: u32 = 9;
+/// Maximum jitter as a fraction of a wait, to avoid synchronized attempts.
+pub(crate) const JITTER: f64 = 0.5;
+/// Number of attempts among which the time left is divided. Attempts that the host did not send do not count
+/// and are followed by more.
 const SHARED_ATTEMPTS: u32 = 4;
 /// Usual lower bound of a timeout in µs. It is generous, since repeating a call that is still running costs
 /// more.
 const MIN_TIMEOUT: Micros = 4 * SECOND;
-const TIMEOUT_LATENCIES: f64 = 8.0; // A timeout covers this multiple of the average latency, if time allows
+/// A timeout covers this multiple of the average latency, if time allows.
+const TIMEOUT_LATENCIES: f64 = 8.0;
 /// A timeout is shortened to leave time for a retry only if it still covers this multiple of the average
 /// latency: otherwise most calls would be cut off.
 const RETRY_LATENCIES: f64 = 1.5;
-/// An attempt that starts less than this, in µs, before its deadline or the end of its window has no
-/// chance.
+/// No attempt starts less than this, in µs, before the deadline or the end of the idempotency window: it
+/// could not succeed in time.
 const START_MARGIN: Micros = 50_000;
-pub(crate) const EXPIRED_RETRY_AFTER: Micros = 3 * SECOND; // Advised when a message expires, in µs
+/// The Retry-After in µs that is advised when a message expires.
+pub(crate) const EXPIRED_RETRY_AFTER: Micros = 3 * SECOND;
 /// Longest interval between recovered messages in µs, before jitter; also used without a listed rate.
 const MAX_RECOVERY_INTERVAL: Micros = 600_000;
-const YIELD_DIVISOR: f64 = 3.0; // A rejected message yields for at most its time left divided by this
-const UNKNOWN_SEND_TIME: Micros = Micros::MIN / 4; // In µs; before any window, and far from overflow
+/// A rejected message yields for at most its time left divided by this.
+const YIELD_DIVISOR: f64 = 3.0;
+/// Stands for an unknown send time, in µs; it is before any idempotency window, and far from overflow.
+const UNKNOWN_SEND_TIME: Micros = Micros::MIN / 4;
 
 /// Random factor by which a wait is multiplied, from 1 to 1 + [`JITTER`].
 pub(crate) fn jitter_factor(random: &mut fastrand::Rng) -> f64 {
@@ -94,8 +103,13 @@
 }
 
 /// Records a failed attempt in its message: whether it may have taken effect, and when the next one may
-/// start.
-pub(crate) fn schedule_retry(context: Context, message: &mut Message, failed: &AttemptResult, jitter: f64) {
+/// start. `jitter_factor` is the factor on the backoff.
+pub(crate) fn schedule_retry(
+    context: Context,
+    message: &mut Message,
+    failed: &AttemptResult,
+    jitter_factor: f64,
+) {
     if !failed.outcome.had_no_effect() && message.first_ambiguous.is_none() {
         message.first_ambiguous = Some(AmbiguousAttempt { sent_at: failed.sent_at, zone: failed.zone });
     }
@@ -103,16 +117,21 @@
     let attempts_left =
         context.settings.limits.max_attempts.saturating_sub(message.counted_attempts()).max(1);
     let longest = (message.deadline - context.now) / Micros::from(attempts_left);
-    message.ready_at = context.now + (backoff(message).min(longest) as f64 * jitter) as Micros;
+    message.ready_at = context.now + (backoff(message).min(longest) as f64 * jitter_factor) as Micros;
     message.sent_attempts += u32::from(failed.outcome != AttemptOutcome::NotSent);
 }
 
 /// Delays a rejected message, whichever route it takes next, so that first attempts of others go first. The
-/// delay is at most `interval` in µs, with jitter, and is shorter the more value the message loses by
-/// waiting.
-pub(crate) fn yield_to_first_attempts(context: Context, message: &mut Message, interval: f64, jitter: f64) {
+/// delay is at most `interval` in µs times `jitter_factor`, and is shorter the more value the message loses
+/// by waiting.
+pub(crate) fn yield_to_first_attempts(
+    context: Context,
+    message: &mut Message,
+    interval: f64,
+    jitter_factor: f64,
+) {
     let longest = (message.deadline - context.now) as f64 / YIELD_DIVISOR;
-    let interval = interval.min(longest) * jitter;
+    let interval = interval.min(longest) * jitter_factor;
     let value_after = |delay: Micros| value_at(context, message, context.now + delay);
     let value_kept = value_after(interval as Micros) / value_after(0).max(f64::MIN_POSITIVE);
     let until = context.now + (interval * (2.0 * value_kept - 1.0).max(0.0)) as Micros;
--- a/crates/delivery-control/src/subscription.rs
+++ b/crates/delivery-control/src/subscription.rs
@@ -1,12 +1,15 @@
 //! When to subscribe to changes of the endpoint list: at the start, again with backoff after errors, and
-//! again if no answer arrives.
+//! again if no list arrives.
 
 use crate::model::{Context, Subscription, SECOND};
 use crate::{retry::jittered, DiscoveryMode, Micros, UpdateKind};
 
-const INITIAL_BACKOFF: Micros = SECOND; // In µs, after the first failure
-const MAX_DOUBLINGS: u32 = 3; // The backoff doubles with each further failure, up to this often
-const ANSWER_TIMEOUT: Micros = 10 * SECOND; // How long the answer to a subscription may take, in µs
+/// Backoff in µs after the first failure, before jitter.
+const INITIAL_BACKOFF: Micros = SECOND;
+/// The backoff doubles with each further failure, up to this many times.
+const MAX_DOUBLINGS: u32 = 3;
+/// How long the list may take to arrive after a subscription, in µs.
+const SUBSCRIPTION_TIMEOUT: Micros = 10 * SECOND;
 
 impl Subscription {
     pub fn new(mode: DiscoveryMode) -> Self {
@@ -25,11 +28,11 @@
         }
     }
 
-    /// Whether to subscribe now. If so, the next attempt is scheduled for the case that no answer arrives.
+    /// Whether to subscribe now. If so, the next attempt is scheduled for the case that no list arrives.
     pub fn take_due_attempt(&mut self, now: Micros) -> bool {
         let is_due = self.next_attempt_at.is_some_and(|at| at <= now);
         if is_due {
-            self.next_attempt_at = Some(now + ANSWER_TIMEOUT);
+            self.next_attempt_at = Some(now + SUBSCRIPTION_TIMEOUT);
         }
         is_due
     }
--- a/crates/delivery-control/src/turn.rs
+++ b/crates/delivery-control/src/turn.rs
@@ -76,7 +76,7 @@
             first_ambiguous.map(|first| retry::replace_future_send_time(self.context, first));
         message.recover(attempts, first_ambiguous, ready_at);
         // The message arrived at the predecessor; this process counts only the arrivals of its own time.
-        self.state.endpoints.discount_arrival(message.destination);
+        self.state.endpoints.uncount_arrival(message.destination);
     }
 
     /// Applies the end of an attempt to its call, route, order key and message.
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Answers a message that is given up, and removes it. Where notices are acknowledged, its order key
-    /// stays blocked until then.
+    /// Gives the final answer to a message that is given up, and removes it. Where notices are acknowledged,
+    /// its order key stays blocked until the notice of it is acknowledged.
     fn give_up(&mut self, id: MessageId, retry_after: Micros) {
         let Some(message) = self.state.messages.get(id) else { return };
         self.actions.push(retry::give_up(self.context, id, message, retry_after));
@@ -129,8 +129,9 @@
         self.remove(id);
     }
 
-    /// Gives up messages whose time is up: at the latest start of an attempt or, with an attempt in flight,
-    /// one turn interval before the deadline. Streaming messages are left alone.
+    /// Gives up messages that can no longer be delivered in time: without an attempt in flight, once the
+    /// latest start of another attempt is reached; with one, a turn interval before the deadline. Streaming
+    /// messages are not given up.
     fn end_expired(&mut self) {
         while let Some(id) = self.state.messages.take_due_end_check(self.context.now) {
             let message = self.state.messages.get(id).filter(|message| !message.streaming);
