--- a/crates/delivery-control/tests/controller/fleet_slow_start/simulation.rs
+++ b/crates/delivery-control/tests/controller/fleet_slow_start/simulation.rs
@@ -53,7 +53,7 @@
 pub struct Call {
     /// Time of the call, counted from the endpoint's return.
     pub sent_at: Micros,
-    /// An earlier call that the sender made during the outage had ended by then.
+    /// Whether an earlier call that the sender made during the outage had ended by then.
     pub sender_observed_outage: bool,
 }
 
--- a/crates/delivery-control/tests/controller/health.rs
+++ b/crates/delivery-control/tests/controller/health.rs
@@ -22,7 +22,7 @@
     let actions = harness.turn(&more);
     assert!(sends(&actions).is_empty(), "messages must stay buffered during the outage: {actions:?}");
     let until = harness.now + 12 * SECOND;
-    let probes = harness.answer_calls(1, AttemptOutcome::Error, 50 * MILLISECOND, until);
+    let probes = harness.end_calls(1, AttemptOutcome::Error, 50 * MILLISECOND, until);
     assert!((3..=9).contains(&probes.len()), "{probes:?}");
     let intervals: Vec<_> = probes.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(intervals[0] < intervals[2], "the intervals between probes must grow: {intervals:?}");
@@ -47,10 +47,10 @@
     harness.now += 50 * MILLISECOND;
     harness.turn(&failures);
     let until = harness.now + outage;
-    harness.answer_calls(1, outcome, 50 * MILLISECOND, until);
+    harness.end_calls(1, outcome, 50 * MILLISECOND, until);
     // With two senders, the next probe is sent at most 4.5 s after the previous one.
     let until = harness.now + 6 * SECOND;
-    harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len()
+    harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len()
 }
 
 /// Guards against overload of a cold destination by the backlog of an outage: if all senders sent it at full
--- a/crates/delivery-control/tests/controller/invariants/checker.rs
+++ b/crates/delivery-control/tests/controller/invariants/checker.rs
@@ -137,7 +137,7 @@
         self.messages.insert(id, message);
     }
 
-    /// Checks the actions of a turn, and that no open message is past its deadline and the slack for answers.
+    /// Checks the actions of a turn, and that no open message is past its deadline and the answer slack.
     pub fn check_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
--- a/crates/delivery-control/tests/controller/load_reports.rs
+++ b/crates/delivery-control/tests/controller/load_reports.rs
@@ -56,8 +56,8 @@
         let until = harness.now + 5 * SECOND;
         sent_at_once + deliver_calls(&mut harness, until, limit_remaining, 50.0).len()
     };
-    // The fair share of the limit is half a call per second. The sender stays below it, to compensate for
-    // what all senders together have overdrawn.
+    // The fair share of the limit is half a call per second. The sender stays below it, to make up for what
+    // all senders together have used beyond the limit.
     assert!((1..=2).contains(&calls_in_five_seconds(0.05)));
     assert_eq!(calls_in_five_seconds(0.9), 3, "no message may wait while most of the limit is left");
 }
@@ -75,9 +75,9 @@
     assert!(sent[2] - sent[0] <= 2 * SECOND, "the raised limit permits 2 calls per second: {sent:?}");
 }
 
-/// Guards against a destination that is down and rejects calls as if it were full. Each of a hundred senders
-/// sees too few rejections in a row to detect the outage and keeps calling: no call was served for 8 s
-/// although all of the limit was left.
+/// Guards against a destination that is down and rejects calls as if its limit were used up. Each of a
+/// hundred senders sees too few rejections in a row to detect the outage and keeps calling: no call was
+/// served for 8 s although all of the limit was left.
 #[test]
 fn two_rejections_with_most_of_the_limit_left_are_an_outage() {
     let avoided = |limit_remaining| {
--- a/crates/delivery-control/tests/controller/maintenance.rs
+++ b/crates/delivery-control/tests/controller/maintenance.rs
@@ -61,7 +61,7 @@
         let messages = messages_submitted(first..first + 50, IDEMPOTENT_WITH_KEY, 10);
         let at_once = sends(&harness.turn(&messages)).len();
         let until = harness.now + SECOND;
-        at_once + harness.answer_calls(1, AttemptOutcome::Delivered, 5 * MILLISECOND, until).len()
+        at_once + harness.end_calls(1, AttemptOutcome::Delivered, 5 * MILLISECOND, until).len()
     };
     assert_eq!(sent_in_first_second(1, &[]), 50);
     let cold = sent_in_first_second(
--- a/crates/delivery-control/tests/controller/many_senders.rs
+++ b/crates/delivery-control/tests/controller/many_senders.rs
@@ -12,8 +12,8 @@
 };
 
 /// Maps the time after the start to the destination's response at that time: the outcome of a call, and the
-/// Retry-After sent with it.
-type Answers = fn(Micros) -> (AttemptOutcome, Micros);
+/// Retry-After sent with it in µs.
+type Responses = fn(Micros) -> (AttemptOutcome, Micros);
 
 /// Time from the start of a call to its response.
 const RESPONSE_TIME: Micros = 50 * MILLISECOND;
@@ -21,7 +21,7 @@
 /// Runs this many controllers for `length`, each with one message for the same destination; returns the times
 /// of all sends to that destination, in order. Each controller knows a second destination too, to which its
 /// estimate of the demand attributes an average share of messages.
-fn sends_of_senders(sender_count: u32, length: Micros, rate: f64, answers: Answers) -> Vec<Micros> {
+fn sends_of_senders(sender_count: u32, length: Micros, rate: f64, responses: Responses) -> Vec<Micros> {
     let settings = Settings { sender_count, rates_are_listed: rate > 0.0, ..settings() };
     let destination = EndpointEntry { rate, ..endpoint_entry(1, 10, SHARED_LIMIT) };
     let entries = vec![destination, endpoint_entry(2, 20, SHARED_LIMIT)];
@@ -31,7 +31,7 @@
         let harness = ControllerHarness::with_seed(settings.clone(), entries.clone(), seed);
         // The submissions are spread over the first two seconds.
         let delay = Micros::from(ordinal) * 2 * SECOND / Micros::from(sender_count);
-        sent_at.extend(SenderRun::new(harness, length, answers).run(delay));
+        sent_at.extend(SenderRun::new(harness, length, responses).run(delay));
     }
     sent_at.sort_unstable();
     sent_at
@@ -42,23 +42,23 @@
     harness: ControllerHarness,
     start: Micros,
     end: Micros,
-    answers: Answers,
+    responses: Responses,
     /// The calls in flight by the times of their responses: each message with the number of its attempt.
-    due_answers: BTreeMap<Micros, (MessageId, u32)>,
+    due_responses: BTreeMap<Micros, (MessageId, u32)>,
     next_attempt: u32,
     /// Times of the sends since the start.
     sent_at: Vec<Micros>,
 }
 
 impl SenderRun {
-    fn new(harness: ControllerHarness, length: Micros, answers: Answers) -> Self {
+    fn new(harness: ControllerHarness, length: Micros, responses: Responses) -> Self {
         let start = harness.now;
         Self {
             harness,
             start,
             end: start + length,
-            answers,
-            due_answers: BTreeMap::new(),
+            responses,
+            due_responses: BTreeMap::new(),
             next_attempt: 0,
             sent_at: Vec::new(),
         }
@@ -69,10 +69,10 @@
         self.harness.now += delay;
         let actions = self.harness.turn(&[message_submitted(1, IDEMPOTENT, 10)]);
         self.record_sends(&actions);
-        while let Some(answer_at) = self.next_answer() {
-            let actions = match self.harness.next_timer().filter(|at| *at < answer_at) {
+        while let Some(response_at) = self.next_response() {
+            let actions = match self.harness.next_timer().filter(|at| *at < response_at) {
                 Some(at) => self.harness.fire_timer(at),
-                None => self.answer_next_call(),
+                None => self.respond_to_next_call(),
             };
             self.record_sends(&actions);
             self.run_timers_while_idle();
@@ -81,15 +81,15 @@
     }
 
     /// Time of the next response, if it is before the end.
-    fn next_answer(&self) -> Option<Micros> {
-        let (at, _) = self.due_answers.first_key_value()?;
+    fn next_response(&self) -> Option<Micros> {
+        let (at, _) = self.due_responses.first_key_value()?;
         Some(*at).filter(|at| *at < self.end)
     }
 
-    fn answer_next_call(&mut self) -> Vec<Action> {
-        let (at, (id, attempt)) = self.due_answers.pop_first().expect("a call is in flight");
+    fn respond_to_next_call(&mut self) -> Vec<Action> {
+        let (at, (id, attempt)) = self.due_responses.pop_first().expect("a call is in flight");
         self.harness.now = at;
-        let (outcome, retry_after) = (self.answers)(at - self.start);
+        let (outcome, retry_after) = (self.responses)(at - self.start);
         self.harness.turn(&[Event::AttemptEnded(AttemptEnd {
             elapsed: RESPONSE_TIME,
             retry_after,
@@ -99,7 +99,7 @@
 
     /// With no call in flight, advances from timer to timer until a message is sent or the end is reached.
     fn run_timers_while_idle(&mut self) {
-        while self.due_answers.is_empty() {
+        while self.due_responses.is_empty() {
             let Some(at) = self.harness.next_timer().filter(|at| *at < self.end) else { break };
             let actions = self.harness.fire_timer(at);
             self.record_sends(&actions);
@@ -109,7 +109,7 @@
     fn record_sends(&mut self, actions: &[Action]) {
         for (id, _) in sends(actions) {
             self.sent_at.push(self.harness.now - self.start);
-            self.due_answers.insert(self.harness.now + RESPONSE_TIME, (id, self.next_attempt));
+            self.due_responses.insert(self.harness.now + RESPONSE_TIME, (id, self.next_attempt));
             self.next_attempt += 1;
         }
     }
@@ -126,12 +126,13 @@
 #[test]
 fn many_senders_do_not_overload_a_recovered_destination() {
     // The destination returns errors for 10 s and then recovers; its capacity is 6 calls per second.
-    let answers = |at| (if at < 10 * SECOND { AttemptOutcome::Error } else { AttemptOutcome::Delivered }, 0);
-    let sends = sends_of_senders(60, 19 * SECOND, 6.0, answers);
+    let responses =
+        |at| (if at < 10 * SECOND { AttemptOutcome::Error } else { AttemptOutcome::Delivered }, 0);
+    let sends = sends_of_senders(60, 19 * SECOND, 6.0, responses);
     let first = sends_between(&sends, 10 * SECOND, 12 * SECOND);
     // Twice a fifth of the capacity (overload factor, initial capacity) is 5 calls in 2 s, and grows later.
     assert!((1..=9).contains(&first), "{first} calls in the first 2 s after the recovery");
-    let by_two_senders = sends_of_senders(2, 19 * SECOND, 6.0, answers);
+    let by_two_senders = sends_of_senders(2, 19 * SECOND, 6.0, responses);
     assert_eq!(
         sends_between(&by_two_senders, 10 * SECOND, 17 * SECOND),
         2,
@@ -156,12 +157,12 @@
 /// Guards against senders that all wait for the same Retry-After and call at the same moment when it is over.
 #[test]
 fn senders_with_the_same_retry_after_do_not_retry_in_step() {
-    // It rejects for 8 s, with a Retry-After until then.
-    let answers = |at| match 8 * SECOND - at {
+    // The destination rejects calls for 8 s, with a Retry-After that ends after these 8 s.
+    let responses = |at| match 8 * SECOND - at {
         left if left > 0 => (AttemptOutcome::Rejected, left),
         _ => (AttemptOutcome::Delivered, 0),
     };
-    let sends = sends_of_senders(60, 18 * SECOND, 0.0, answers);
+    let sends = sends_of_senders(60, 18 * SECOND, 0.0, responses);
     assert_eq!(
         sends_between(&sends, 2 * SECOND + 50 * MILLISECOND, 8 * SECOND),
         0,
--- a/crates/delivery-control/tests/controller/ordering.rs
+++ b/crates/delivery-control/tests/controller/ordering.rs
@@ -31,7 +31,7 @@
 /// key as open: over the network, the platform learns of a final outcome by a notice, which may be delayed or
 /// have to be sent again.
 #[test]
-fn successor_waits_until_the_notice_about_its_predecessor_is_acknowledged() {
+fn next_message_of_a_key_waits_until_the_notice_is_acknowledged() {
     let classes = vec![
         message_class(Idempotency::Always),
         message_class(Idempotency::WithKey),
--- a/crates/delivery-control/tests/controller/rate_limit.rs
+++ b/crates/delivery-control/tests/controller/rate_limit.rs
@@ -61,7 +61,7 @@
     let burst = messages_submitted(3..=30, IDEMPOTENT, 10);
     harness.turn(&burst);
     let start = harness.now;
-    let sent = harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, start + 10 * SECOND);
+    let sent = harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, start + 10 * SECOND);
     let early = sent.iter().filter(|at| **at < start + 2 * SECOND).count();
     let late = sent.iter().filter(|at| **at >= start + 3 * SECOND && **at < start + 5 * SECOND).count();
     assert!(early <= 6, "the rate must be limited after the rejection: {early} calls in the first 2 s");
@@ -85,12 +85,12 @@
     for id in 2..300 {
         harness.turn(&[message_submitted(id, IDEMPOTENT, 10)]);
         let until = harness.now + 200 * MILLISECOND;
-        harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until);
+        harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until);
     }
     let burst = messages_submitted(300..400, IDEMPOTENT, 10);
     harness.turn(&burst);
     let until = harness.now + SECOND;
-    let sent = harness.answer_calls(1, AttemptOutcome::Delivered, 5 * MILLISECOND, until).len();
+    let sent = harness.end_calls(1, AttemptOutcome::Delivered, 5 * MILLISECOND, until).len();
     assert!((5..=60).contains(&sent), "{sent} calls in a second, after traffic of five calls per second");
 }
 
@@ -111,7 +111,7 @@
         let burst = messages_submitted(2..=10, IDEMPOTENT, 10);
         harness.turn(&burst);
         let until = harness.now + 3 * SECOND;
-        harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len()
+        harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len()
     };
     assert!(sent(true) > sent(false) + 2, "{} calls with a listed rate, {} without", sent(true), sent(false));
 }
@@ -125,14 +125,14 @@
     harness.turn(&burst);
     // Calls are delivered for 1 s and then rejected for 7 s, so that the rate falls to its minimum.
     let until = harness.now + SECOND;
-    let delivered = harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len();
+    let delivered = harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len();
     assert!(delivered >= 10, "{delivered}");
     let more = messages_submitted(101..=150, IDEMPOTENT, 10);
     harness.turn(&more);
     let until = harness.now + 7 * SECOND;
-    harness.answer_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, until);
+    harness.end_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, until);
     let until = harness.now + 5 * SECOND;
-    let sent = harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len();
+    let sent = harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, until).len();
     assert!(sent >= 25, "the rate must recover within the warm-up time: {sent} calls in 5 s");
 }
 
@@ -147,7 +147,7 @@
         let burst = messages_submitted(1..=40, IDEMPOTENT, 10);
         harness.turn(&burst);
         let until = harness.now + 18 * SECOND;
-        harness.answer_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, until).len()
+        harness.end_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, until).len()
     };
     assert!(calls(12) < calls(2), "{} calls by one of 12 senders, {} by one of 2", calls(12), calls(2));
 }
--- a/crates/delivery-control/tests/controller/recovery.rs
+++ b/crates/delivery-control/tests/controller/recovery.rs
@@ -26,7 +26,7 @@
 fn sent_after(harness: &mut ControllerHarness, events: &[Event]) -> Vec<Micros> {
     let start = harness.now;
     let mut sent_at = vec![start; sends(&harness.turn(events)).len()];
-    sent_at.extend(harness.answer_calls(1, AttemptOutcome::Delivered, 0, start + 8 * SECOND));
+    sent_at.extend(harness.end_calls(1, AttemptOutcome::Delivered, 0, start + 8 * SECOND));
     sent_at.into_iter().map(|at| at - start).collect()
 }
 
@@ -101,9 +101,8 @@
         ]);
     }
     let recovered_at = harness.now + SECOND;
-    harness.answer_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, recovered_at);
-    let sent =
-        harness.answer_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, recovered_at + 6 * SECOND);
+    harness.end_calls(1, AttemptOutcome::Rejected, 50 * MILLISECOND, recovered_at);
+    let sent = harness.end_calls(1, AttemptOutcome::Delivered, 50 * MILLISECOND, recovered_at + 6 * SECOND);
     assert!(
         sent.len() >= 20,
         "{} calls in the 6 s after the recovery, with 80 messages buffered",
--- a/crates/delivery-control/tests/controller/retry.rs
+++ b/crates/delivery-control/tests/controller/retry.rs
@@ -172,8 +172,8 @@
     assert_eq!(ids, [2]);
 }
 
-/// Guards against a streamed response that is cut off at the message's deadline: once the response has begun,
-/// the attempt belongs to the client.
+/// Guards against a streamed response that is cut off at the message's deadline although the client is
+/// already receiving it.
 #[test]
 fn started_stream_is_not_cancelled_at_its_deadline() {
     let mut harness = ControllerHarness::new(settings(), two_destinations());
--- a/crates/delivery-control/tests/controller/support/harness.rs
+++ b/crates/delivery-control/tests/controller/support/harness.rs
@@ -11,8 +11,8 @@
 
 /// Virtual time of the first turn.
 const START: Micros = 100 * SECOND;
-/// Step by which the clock advances while calls are answered.
-const ANSWER_STEP: Micros = 5 * MILLISECOND;
+/// Step by which the clock advances while calls are ended.
+const STEP: Micros = 5 * MILLISECOND;
 /// Seed of the controller's random numbers where a test does not choose one.
 const DEFAULT_SEED: u64 = 7;
 
@@ -96,7 +96,7 @@
 
     /// Advances the clock to `until` and ends each call to `endpoint` after `response_time` with `outcome`;
     /// returns the times at which messages were sent to any endpoint.
-    pub fn answer_calls(
+    pub fn end_calls(
         &mut self,
         endpoint: EndpointId,
         outcome: AttemptOutcome,
@@ -105,11 +105,11 @@
     ) -> Vec<Micros> {
         let mut sent_at = Vec::new();
         while self.now < until {
-            let now = self.now + ANSWER_STEP;
+            let now = self.now + STEP;
             let mut timed_actions = self.advance_to(now);
-            let answers = self.due_answers(endpoint, outcome, now - response_time);
-            if !answers.is_empty() {
-                let actions = self.turn(&answers);
+            let call_ends = self.due_call_ends(endpoint, outcome, now - response_time);
+            if !call_ends.is_empty() {
+                let actions = self.turn(&call_ends);
                 timed_actions.extend(actions.into_iter().map(|action| (now, action)));
             }
             sent_at.extend(timed_sends(&timed_actions).into_iter().map(|(at, ..)| at));
@@ -118,13 +118,13 @@
     }
 
     /// Returns the ends of the calls to `endpoint` that were sent no later than `sent_by`.
-    fn due_answers(&self, endpoint: EndpointId, outcome: AttemptOutcome, sent_by: Micros) -> Vec<Event> {
-        let mut answers = Vec::new();
+    fn due_call_ends(&self, endpoint: EndpointId, outcome: AttemptOutcome, sent_by: Micros) -> Vec<Event> {
+        let mut call_ends = Vec::new();
         for (id, (sent_at, to)) in &self.in_flight {
             if *sent_at <= sent_by && *to == endpoint {
-                answers.push(attempt_ended(*id, self.latest_attempts[id], endpoint, outcome));
+                call_ends.push(attempt_ended(*id, self.latest_attempts[id], endpoint, outcome));
             }
         }
-        answers
+        call_ends
     }
 }
