--- a/crates/message-sender/src/client_api/error.rs
+++ b/crates/message-sender/src/client_api/error.rs
@@ -14,7 +14,7 @@
     /// The body could not be read completely.
     #[error("the body is incomplete")]
     IncompleteBody,
-    /// More bytes have been received than the head and the body length that it states.
+    /// More bytes have been received than the head and a body of the length that the head states.
     #[error("bytes follow the request")]
     TrailingBytes,
     /// A header is missing, empty or repeated, or has an invalid value.
--- a/crates/message-sender/src/client_api/request.rs
+++ b/crates/message-sender/src/client_api/request.rs
@@ -9,9 +9,9 @@
 use super::error::RequestError;
 use crate::submission::Submission;
 
-/// Maximum length of a body that the protocol allows.
+/// Maximum length of a body that the protocol allows, in bytes.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
-/// Maximum length of a header value or an order key.
+/// Maximum length of a header value or an order key, in bytes.
 const MAX_TEXT_BYTES: usize = 256;
 
 const MICROS_PER_MILLI: u64 = 1000;
--- a/crates/message-sender/src/client_api/response.rs
+++ b/crates/message-sender/src/client_api/response.rs
@@ -39,7 +39,7 @@
     response
 }
 
-/// The response to a rejected submission. A `retry_after` of 0 adds no `Retry-After` header.
+/// The response to a rejected submission. `retry_after` is in microseconds; 0 adds no `Retry-After` header.
 fn rejected(retry_after: Micros) -> Response<Empty<Bytes>> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after > 0 {
--- a/crates/message-sender/src/client_api/server.rs
+++ b/crates/message-sender/src/client_api/server.rs
@@ -27,7 +27,7 @@
 use crate::serving_state::ServingState;
 use crate::submission::{Submission, SubmissionReply};
 
-/// Maximum size of a request's head, and of the buffer of a connection.
+/// Maximum size of a request's head, and of the buffer of a connection, in bytes.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
 /// Path at which load balancers check whether the sender serves.
@@ -82,8 +82,8 @@
         if let Err(error) = &driven {
             tracing::debug!(%error, "client connection failed");
         }
-        // After a close between requests, nothing more is read: a client whose request crosses the close
-        // sends it again.
+        // Nothing more is read from a connection that was closed between two requests: a client whose next
+        // request crosses the close sends that request again.
         if driven.is_err() || slot.has_unread_request() {
             linger(&stream).await;
         }
--- a/crates/message-sender/src/client_api/tests.rs
+++ b/crates/message-sender/src/client_api/tests.rs
@@ -52,6 +52,8 @@
     decode(&settings, &names, &Uri::try_from(uri).expect("valid URI"), headers)
 }
 
+/// Guards against a field of a submission that is lost or taken from the wrong header, and against an order
+/// key for a message whose class is not ordered.
 #[test]
 fn a_complete_head_is_decoded() {
     let mut pairs = KEYED_HEADERS.to_vec();
@@ -65,6 +67,8 @@
     assert_eq!((submission.returned, submission.repeat), (false, true));
 }
 
+/// Guards against accepting a message although a header that it needs is missing, malformed or repeated, and
+/// against an error that names another header.
 #[test]
 fn a_header_that_is_missing_or_malformed_is_named() {
     for (name, value) in [
@@ -86,12 +90,15 @@
     }
 }
 
+/// Guards against accepting a message for whose class no deadline and no idempotency rules are configured.
 #[test]
 fn an_unknown_class_is_not_found() {
     let error = decode_from("/parcel", &headers(&KEYED_HEADERS)).expect_err("unknown class");
     assert_eq!((error, error.status()), (RequestError::UnknownClass, StatusCode::NOT_FOUND));
 }
 
+/// Guards against ordering the messages of a class that is not ordered, against order keys of unlimited
+/// length, and against a message that is buffered for longer than its class allows.
 #[test]
 fn the_order_key_is_read_for_ordered_classes_only_and_is_bounded() {
     let ordered = headers(&[
@@ -109,6 +116,8 @@
     assert_eq!(decode_from(&unordered, &headers(&KEYED_HEADERS)).expect("a message").order_key, None);
 }
 
+/// Guards against a body of any length being read into memory, and against a chunked request that smuggles
+/// another request in its body.
 #[test]
 fn the_length_of_a_body_is_checked_before_it_is_read() {
     assert_eq!(body_length(&headers(&[])), Ok(0));
@@ -124,6 +133,8 @@
     }
 }
 
+/// Guards against a `Retry-After` in another unit than seconds, and against one of 0 seconds, which would
+/// make the client submit the message again at once.
 #[test]
 fn a_rejection_carries_its_retry_after_in_seconds() {
     let response = |retry_after| Reply::Submission(SubmissionReply::Rejected(retry_after)).into_response();
--- a/crates/message-sender/src/config/deployment.rs
+++ b/crates/message-sender/src/config/deployment.rs
@@ -41,7 +41,7 @@
     pub known: Option<EndpointList>,
     /// The controller's settings.
     pub settings: Settings,
-    /// The names that the settings list: classes, kinds of endpoints, zones and tenants.
+    /// The names that the settings list: classes, kinds of destinations, zones and tenants.
     pub names: Names,
 }
 
--- a/crates/message-sender/src/config/tests.rs
+++ b/crates/message-sender/src/config/tests.rs
@@ -8,6 +8,7 @@
 use super::limits::Limits;
 use super::Config;
 
+/// The content of a valid configuration file.
 fn file() -> Value {
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f",
@@ -33,6 +34,8 @@
     error.to_string()
 }
 
+/// Guards against a seed in text form that is read as a decimal number, and against rejecting a file whose
+/// seed is a number.
 #[test]
 fn seeds_are_hexadecimal_text_or_numbers() {
     let mut file = file();
@@ -48,6 +51,8 @@
     assert!(decode(&file()).expect("valid configuration").settings.notices_are_acknowledged);
 }
 
+/// Guards against an error that does not say what is wrong with the file: a process that rejects its
+/// configuration prints only this text.
 #[test]
 fn errors_name_the_field() {
     assert!(error_text("/seed", json!("xyz")).contains("seed is not a hexadecimal number"));
@@ -57,6 +62,8 @@
     assert!(error_text("/limits", json!({})).contains("memory_mb"));
 }
 
+/// Guards against more connections than the process has file descriptors or memory for, and against a share
+/// of 0 connections, with which no client could connect.
 #[test]
 fn descriptors_are_divided_without_exceeding_the_limit() {
     let shares = |sockets| Limits { memory_mb: 192.0, sockets, disk_mb: 1.0 }.shares(12);
--- a/crates/message-sender/src/connection_limiter/slot.rs
+++ b/crates/message-sender/src/connection_limiter/slot.rs
@@ -49,7 +49,7 @@
     has_answered: Cell<bool>,
     /// Why the limiter has asked for the connection to be closed, if it has.
     close_reason: Cell<Option<CloseReason>>,
-    /// Whether an error was answered before the request had been read completely.
+    /// Whether a request was answered while more bytes, of the request or after it, may still arrive.
     has_unread_request: Cell<bool>,
     /// Notifies the connection's task that it has to close the connection.
     close: Notify,
@@ -97,12 +97,12 @@
         self.phase.set(Phase::Processing);
     }
 
-    /// Records that an error was answered while more bytes, of the request or after it, may still arrive.
+    /// Records that a request was answered while more bytes, of the request or after it, may still arrive.
     pub fn mark_unread_request(&self) {
         self.has_unread_request.set(true);
     }
 
-    /// Whether an error was answered before the request had been read completely.
+    /// Whether a request was answered while more bytes, of the request or after it, may still arrive.
     pub fn has_unread_request(&self) -> bool {
         self.has_unread_request.get()
     }
@@ -184,6 +184,7 @@
 /// Finds the end of a request's head, in whatever pieces its bytes arrive.
 #[derive(Default)]
 struct HeadEndFinder {
+    /// How much of the blank line the bytes scanned last have matched.
     progress: Cell<BlankLineProgress>,
     /// Length of the head in bytes, with its blank line, once it is known.
     offset: Cell<Option<u64>>,
--- a/crates/message-sender/src/delivery/attempt.rs
+++ b/crates/message-sender/src/delivery/attempt.rs
@@ -78,7 +78,7 @@
 pub struct AttemptResult {
     /// The outcome.
     pub outcome: AttemptOutcome,
-    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
+    /// The Retry-After of a rejection, in microseconds from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
     /// Whether the message ends with this attempt, so that no other attempt follows.
     pub is_final: bool,
--- a/crates/message-sender/src/delivery/client.rs
+++ b/crates/message-sender/src/delivery/client.rs
@@ -22,15 +22,15 @@
 use crate::time::duration;
 use crate::transient::is_local_shortage;
 
-/// Maximum length of a response body that is read. The body is not used, but must be read before its
-/// connection can carry another request.
+/// Maximum length of a response body that is read, in bytes. The body is not used, but must be read before
+/// its connection can carry another request.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 /// Idle connections are closed after this share of the time for which endpoints keep them: an attempt that
 /// is sent while the endpoint closes the connection would end as a reset.
 const IDLE_TIME_SHARE: f64 = 0.7;
 /// Interval between removals of expired state.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Minimum interval between log events about failed attempts.
+/// Minimum time between two log lines about failed attempts.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval at which the recorded lifetimes of idle connections decay.
 const LIFETIME_DECAY_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/message-sender/src/delivery/failure_log.rs
+++ b/crates/message-sender/src/delivery/failure_log.rs
@@ -1,10 +1,10 @@
-//! Counts attempts that failed because of their connection, for a periodic log event.
+//! Counts attempts that failed because of their connection, for a periodic log line.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Maximum number of different failures per log event; failures of further kinds are not counted.
+/// Maximum number of different failures per log line; failures of further kinds are not counted.
 const MAX_KINDS: usize = 8;
 
 /// How an attempt failed. Ordered by reason.
@@ -14,7 +14,7 @@
     is_reused: bool,
 }
 
-/// Counts the attempts that failed since the last log event, by kind of failure.
+/// Counts the attempts that failed since the last log line, by kind of failure.
 #[derive(Debug, Default)]
 pub struct FailureLog {
     counts: RefCell<BTreeMap<FailureKind, u32>>,
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Whether no failure was counted since the last log event.
+    /// Whether no failure was counted since the last log line.
     pub fn is_empty(&self) -> bool {
         self.counts.borrow().is_empty()
     }
 
-    /// Logs the failures since the last log event, with the idle time up to which connections are reused.
+    /// Logs the failures since the last log line, with the idle time up to which connections are reused.
     pub fn log(&self, trusted_idle_time: Duration) {
         let failures = self.counts.take();
         let trusted_idle_ms = trusted_idle_time.as_millis();
--- a/crates/message-sender/src/delivery/response.rs
+++ b/crates/message-sender/src/delivery/response.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The Retry-After of a rejection; 0 if the header is missing or invalid.
+/// The Retry-After of a rejection, in microseconds; 0 if the header is missing or invalid.
 fn retry_after(headers: &HeaderMap) -> Micros {
     let retry_after_ms = header_number(headers, RETRY_AFTER_MS)
         .filter(|ms| ms.is_finite())
--- a/crates/message-sender/src/discovery/notices.rs
+++ b/crates/message-sender/src/discovery/notices.rs
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Prepares the next attempt after a failed one: closes the connection, so that the next attempt opens a
+    /// Prepares the next request after a failed one: closes the connection, so that the next request opens a
     /// new one, and after any error other than a timeout waits for the retry delay.
     async fn prepare_retry(&mut self, error: &DiscoveryError, notices: usize) {
         self.client.disconnect();
--- a/crates/message-sender/src/drain.rs
+++ b/crates/message-sender/src/drain.rs
@@ -9,7 +9,7 @@
 pub const ATTEMPTS_STOP_AFTER: Duration = Duration::from_millis(2400);
 /// Time at which the process stops working, even if attempts are still in flight.
 pub const DRAIN_DEADLINE: Duration = Duration::from_millis(3300);
-/// Least time before the process ends, even with nothing left to do: connections still arrive, because the
+/// Minimum time before the process ends, even with nothing left to do: connections still arrive, because the
 /// load balancers in front of it notice a drain only after a while.
 pub const MINIMUM_DRAIN: Duration = Duration::from_millis(1000);
 /// Time after the end of the event loop in which the last replies may still reach their clients.
--- a/crates/message-sender/src/event_loop/attempts.rs
+++ b/crates/message-sender/src/event_loop/attempts.rs
@@ -21,7 +21,8 @@
 pub struct AttemptLimits {
     /// How long the attempt may take, in microseconds.
     pub timeout: Micros,
-    /// The latest time for its first byte, on the journal's clock. Past this time the attempt is not sent.
+    /// The latest time to send the first byte, in microseconds of the journal's clock. The attempt is not
+    /// sent after this time.
     pub begin_by: Micros,
 }
 
--- a/crates/message-sender/src/event_loop/audit.rs
+++ b/crates/message-sender/src/event_loop/audit.rs
@@ -27,7 +27,7 @@
     pub class: usize,
     /// Where it is to be delivered.
     pub destination: delivery_control::DestinationId,
-    /// When it must have ended, on the journal's clock.
+    /// When it must have ended, in microseconds of the journal's clock.
     pub deadline: Micros,
     /// The key within which messages are delivered in order.
     pub order_key: Option<String>,
--- a/crates/message-sender/src/event_loop/clock.rs
+++ b/crates/message-sender/src/event_loop/clock.rs
@@ -20,7 +20,9 @@
 /// reading of the monotonic clock.
 #[derive(Clone, Copy)]
 pub struct JournalClock {
+    /// When this process started the clock.
     started: Instant,
+    /// What the clock showed then, in microseconds since the Unix epoch.
     time_at_start: Micros,
 }
 
@@ -48,8 +50,8 @@
         Self { time_at_start, ..system }
     }
 
-    /// Sets this clock to what another process's clock showed a moment ago, unless this clock is ahead of it
-    /// by less than `MAX_CLOCK_DIFFERENCE`.
+    /// Sets this clock to what another process's clock showed a moment ago, in microseconds since the Unix
+    /// epoch, unless this clock is ahead of it by less than [`MAX_CLOCK_DIFFERENCE`].
     pub fn restore(&mut self, other_now: Micros) {
         let ahead = self.now() - other_now;
         if !(0..MAX_CLOCK_DIFFERENCE).contains(&ahead) {
--- a/crates/message-sender/src/event_loop/handover.rs
+++ b/crates/message-sender/src/event_loop/handover.rs
@@ -6,9 +6,9 @@
 use crate::handover::{self, HandoverState, HandoverStream, Successor};
 
 impl EventLoop {
-    /// Offers the sender's state to a successor. Returns the connection to the successor once that is ready
-    /// to take over; until then nothing changes for this process. If the successor can only read the journal,
-    /// this process shuts down instead.
+    /// Offers the sender's state to a successor. Returns the connection to the successor once the successor
+    /// is ready to take over; until then nothing changes for this process. If the successor can only read the
+    /// journal, this process shuts down instead.
     pub(super) async fn offer(&mut self, successor: Successor) -> Option<HandoverStream> {
         let synchronized = self.journal.borrow_mut().synchronize();
         if let Err(error) = synchronized {
--- a/crates/message-sender/src/event_loop/journal_sync.rs
+++ b/crates/message-sender/src/event_loop/journal_sync.rs
@@ -14,7 +14,7 @@
 
 /// Time between two tries to write a journal that cannot be written.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Least time between log events on records that could not be written.
+/// Minimum time between two log lines about records that could not be written.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A step that could not be recorded in the journal.
@@ -49,7 +49,7 @@
         self.log_when_due();
     }
 
-    /// Logs the counts if there are any and the last log event is long enough ago.
+    /// Logs the counts if there are any and the last log line is at least [`LOG_INTERVAL`] old.
     pub fn log_when_due(&self) {
         let is_recent = self.logged_at.get().is_some_and(|at| at.elapsed() < LOG_INTERVAL);
         if is_recent || self.counts.borrow().is_empty() {
@@ -61,13 +61,13 @@
     }
 }
 
-/// A notice that must not be sent before its message's end is in the journal's file: if the process died
-/// after that, the next process would send the message while its client submits it again. The notice is held
-/// until the message's deadline at most, after which no process sends the message.
+/// A notice that must not be sent before its message's end is in the journal's file: if it were sent and the
+/// process then died, the next process would send the message while its client submits it again. The notice
+/// is held until the message's deadline at most, after which no process sends the message.
 pub struct HeldNotice {
     /// The message that the notice is about.
     pub id: MessageId,
-    /// The message's deadline, on the journal's clock.
+    /// The message's deadline, in microseconds of the journal's clock.
     pub deadline: Micros,
     /// The notice to be sent.
     pub notice: Notice,
@@ -107,8 +107,8 @@
         (!self.is_journal_synchronized()).then(|| self.journal_sync.tried_at + RETRY_INTERVAL)
     }
 
-    /// Tries to synchronize the journal if that is needed and the last try is long enough ago, and queues the
-    /// held notices that need not wait any longer.
+    /// Tries to synchronize the journal if that is needed and the last try is at least [`RETRY_INTERVAL`]
+    /// ago, and queues the held notices that need not wait any longer.
     pub(super) fn synchronize_journal(&mut self) {
         self.journal_failures.log_when_due();
         if self.next_journal_retry().is_none_or(|due| due > Instant::now()) {
--- a/crates/message-sender/src/event_loop/mod.rs
+++ b/crates/message-sender/src/event_loop/mod.rs
@@ -238,7 +238,8 @@
             && self.pending_replies.is_empty()
     }
 
-    /// Whether the controller's state is complete: no events remain to be reported to it.
+    /// Whether no events remain to be reported to the controller, so that its state is complete; also true
+    /// late in a shutdown, when events are no longer reported.
     fn is_ready_for_handover(&self) -> bool {
         self.events.is_empty() || self.shutdown.attempts_have_stopped()
     }
--- a/crates/message-sender/src/event_loop/open_messages.rs
+++ b/crates/message-sender/src/event_loop/open_messages.rs
@@ -28,9 +28,9 @@
     pub body: Bytes,
     /// Number of attempts made so far.
     pub attempts: u32,
-    /// When this process accepted or recovered it, on the journal's clock.
+    /// When this process accepted or recovered it, in microseconds of the journal's clock.
     pub accepted_at: Micros,
-    /// When it must have ended, on the journal's clock.
+    /// When it must have ended, in microseconds of the journal's clock.
     pub deadline: Micros,
     /// How it came to this process.
     pub origin: MessageOrigin,
--- a/crates/message-sender/src/event_loop/submissions.rs
+++ b/crates/message-sender/src/event_loop/submissions.rs
@@ -192,8 +192,8 @@
         let _ = reply.send(answer);
     }
 
-    /// Replies to all waiting clients. A message that the controller rejects in its first turn was never
-    /// accepted. A new message whose clients have all disconnected is withdrawn.
+    /// Replies to all waiting clients. A message that the controller rejects in the message's first turn was
+    /// never accepted. A new message whose clients have all disconnected is withdrawn.
     pub(super) fn send_replies(&mut self, rejections: &BTreeMap<MessageId, Micros>) {
         let mut abandoned = BTreeSet::new();
         let mut replied = BTreeSet::new();
--- a/crates/message-sender/src/event_loop/summary.rs
+++ b/crates/message-sender/src/event_loop/summary.rs
@@ -10,12 +10,13 @@
 
 use crate::delivery::AttemptResult;
 
-/// Least time between two summaries of rejections. An overloaded sender rejects hundreds of messages a
-/// second.
+/// Minimum time between two summaries of undelivered messages. An overloaded sender rejects hundreds of
+/// messages a second.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Least time between two summaries of traffic.
+/// Minimum time between two summaries of traffic.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Most destinations in a traffic summary, which lists those whose attempts were in flight longest.
+/// Maximum number of destinations in a traffic summary, which lists those whose attempts were in flight
+/// longest.
 const MAX_LOGGED_DESTINATIONS: usize = 12;
 
 const MICROS_PER_MILLI: Micros = 1000;
@@ -200,12 +201,12 @@
         }
     }
 
-    /// Counts a message's first attempt. `delay` is the time since the message was accepted.
+    /// Counts a message's first attempt. `delay` is the time since the message was accepted, in microseconds.
     pub fn record_first_attempt(&mut self, delay: Micros) {
         self.traffic.first_attempt_delay.record(delay);
     }
 
-    /// Counts an attempt that ended. `elapsed` is the time for which it was in flight.
+    /// Counts an attempt that ended. `elapsed` is the time for which it was in flight, in microseconds.
     pub fn record_attempt_end(
         &mut self,
         destination: DestinationId,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// When the next summary of rejections is due; `None` if there are no rejections.
+    /// When the next summary of undelivered messages is due; `None` if there are none.
     pub fn rejections_due(&self) -> Option<Instant> {
         if self.rejections.is_empty() {
             return None;
@@ -232,7 +233,7 @@
         Some(self.rejections_logged_at + REJECTION_LOG_INTERVAL)
     }
 
-    /// Logs the rejections if they are due, with a log event for each cause.
+    /// Logs the undelivered messages if their summary is due, with a log line for each cause.
     pub fn log_rejections(&mut self) {
         if self.rejections_due().is_none_or(|due| due > Instant::now()) {
             return;
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Logs the traffic if there was any and a summary is due: a log event for the total, then one for each
+    /// Logs the traffic if there was any and a summary is due: a log line for the total, then one for each
     /// of the busiest destinations. `buffered_for` gives the destination of each buffered message.
     pub fn log_traffic(
         &mut self,
--- a/crates/message-sender/src/event_loop/timers.rs
+++ b/crates/message-sender/src/event_loop/timers.rs
@@ -7,6 +7,7 @@
 /// Pending timers, ordered by the time at which they are due. Setting the same timer twice has no effect.
 #[derive(Default)]
 pub struct Timers {
+    /// For each timer, when it is due, in microseconds of the journal's clock, and its token.
     pending: BTreeSet<(Micros, u64)>,
 }
 
@@ -16,7 +17,8 @@
         Self { pending: entries.into_iter().collect() }
     }
 
-    /// Sets a timer for a time on the journal's clock. The token is reported when the timer fires.
+    /// Sets a timer for a time in microseconds of the journal's clock. The token is reported when the timer
+    /// fires.
     pub fn set(&mut self, at: Micros, token: u64) {
         self.pending.insert((at, token));
     }
--- a/crates/message-sender/src/handover/mod.rs
+++ b/crates/message-sender/src/handover/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! The process that holds the lock in the state folder is the sender: it alone makes decisions, writes the
 //! journal and accepts connections. The kernel releases the lock when its holder dies, at whatever step of a
-//! handover; the state that is handed over beyond the journal only spares the successor the losses of a
-//! restart.
+//! handover, and the next process can resume from the journal alone. The state that is handed over in
+//! addition keeps what a restart loses, such as the controller's state, its timers and the attempts in
+//! flight.
 //!
 //! # Protocol
 //!
--- a/crates/message-sender/src/handover/state.rs
+++ b/crates/message-sender/src/handover/state.rs
@@ -16,7 +16,7 @@
     pub now: Micros,
     /// The names of the classes, tenants, kinds and zones that the indices in the state stand for.
     pub names: Names,
-    /// The decision logic with all of its counters and schedules.
+    /// The controller, with all of its counters and schedules.
     pub controller: Controller,
     /// The endpoints, with the ids by which the controller knows them.
     pub registry: RegistrySnapshot,
--- a/crates/message-sender/src/http_connection/byte_counter.rs
+++ b/crates/message-sender/src/http_connection/byte_counter.rs
@@ -11,6 +11,7 @@
 
 /// A counter to increment once a request has been written in full.
 struct CompletionTrigger {
+    /// Length of the whole request, in bytes.
     request_length: u64,
     counter: Rc<Cell<u64>>,
 }
@@ -18,9 +19,12 @@
 /// Observes what was written and read on a connection since the last reset, which precedes each request.
 #[derive(Default)]
 pub struct ByteCounter {
+    /// Number of bytes of the request that the kernel has accepted.
     written: Cell<u64>,
+    /// Set before a request is sent; removed when it fires.
     completion_trigger: RefCell<Option<CompletionTrigger>>,
     status_line: RefCell<StatusLineParser>,
+    /// Notified when a byte of the response has arrived.
     response_started: Notify,
 }
 
--- a/crates/message-sender/src/invariants.rs
+++ b/crates/message-sender/src/invariants.rs
@@ -1,8 +1,8 @@
 //! Counts and logs violations of the invariants that every sender must keep.
 //!
-//! The checks are made by [`delivery_control::AttemptGuard`] and where a connection or the process ends.
-//! Each violation is a bug in the program. Each is logged, up to a limit that keeps a flood of them out of
-//! the log.
+//! The checks are made by [`delivery_control::AttemptGuard`], by the event loop's audits, and at the end of
+//! the process. Each violation is a bug in the program. Each is logged, up to a limit that keeps a flood of
+//! them out of the log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
--- a/crates/message-sender/src/journal/writer.rs
+++ b/crates/message-sender/src/journal/writer.rs
@@ -19,7 +19,7 @@
 /// until it is restored, even if discovery no longer lists the endpoint.
 pub(super) const MAX_DRAINED_ENDPOINTS: usize = 1024;
 
-/// Minimum time between a failed compaction and the next attempt, since each attempt writes the whole state.
+/// Minimum time between a failed compaction and the next one, since each compaction writes the whole state.
 const COMPACTION_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The journal of one sender.
--- a/crates/message-sender/src/log_limit.rs
+++ b/crates/message-sender/src/log_limit.rs
@@ -5,9 +5,9 @@
 
 use tokio::time::Instant;
 
-/// Allows one log event per interval, and counts the events in between that are not logged.
+/// Allows one log line per interval, and counts the events in between that are not logged.
 pub struct LogLimit {
-    /// Minimum time between two logged events.
+    /// Minimum time between two log lines.
     interval: Duration,
     /// When an event was last logged, if one was.
     last_logged: Cell<Option<Instant>>,
--- a/crates/message-sender/src/operator_api/server.rs
+++ b/crates/message-sender/src/operator_api/server.rs
@@ -28,9 +28,9 @@
 pub const MAX_CONNECTIONS: usize = 16;
 /// Maximum number of requests that wait for the event loop: one for each connection.
 pub const REQUEST_QUEUE_CAPACITY: usize = MAX_CONNECTIONS;
-/// Maximum size of a request's head.
+/// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Maximum length of an endpoint's name, and so of a request's body.
+/// Maximum length of an endpoint's name, and so of a request's body, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 /// How long a command may take. Callers wait 1 s, so they would not receive a later answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/message-sender/src/operator_api/tests.rs
+++ b/crates/message-sender/src/operator_api/tests.rs
@@ -7,6 +7,7 @@
 use super::route::Route;
 use super::server::endpoint_name;
 
+/// Guards against a command that a GET request executes, and against a path that leads to another command.
 #[test]
 fn each_path_allows_one_method() {
     let routes = [
@@ -25,6 +26,8 @@
     assert_eq!(Route::find(&Method::GET, "/"), Err(OperatorError::UnknownPath));
 }
 
+/// Guards against looking up a body that is not one name, and against rejecting a name because of spaces or a
+/// line feed around it.
 #[test]
 fn an_endpoint_name_is_one_line_of_plain_text() {
     assert_eq!(endpoint_name(&Bytes::from_static(b" s-1\n")).as_deref(), Ok("s-1"));
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -38,7 +38,7 @@
 use crate::transient::StartRetries;
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// How long a start keeps reading a configuration that cannot be read for the moment, or is half written.
+/// How long a startup retries to read a configuration file that cannot be read or is only partly written.
 const CONFIGURATION_RETRY_LIMIT: Duration = Duration::from_secs(2);
 /// Pause before another attempt to bind the handover socket.
 const HANDOVER_BIND_PAUSE: Duration = Duration::from_millis(100);
@@ -46,7 +46,7 @@
 /// Runs a sender process until it is shut down, or a successor has taken over and nothing is left to relay.
 pub async fn run() -> Result<(), ProcessError> {
     let retries = StartRetries::begin();
-    // Comes first: until the handlers are installed, a signal ends the process.
+    // Done first: until the handlers are installed, a signal ends the process.
     let signals = retries.run("signal handlers", Signals::install).await.map_err(ProcessError::Signals)?;
     let configuration_retries = StartRetries::within(CONFIGURATION_RETRY_LIMIT);
     let config = configuration_retries.run("configuration", Config::from_environment).await?;
@@ -64,7 +64,7 @@
     /// The address of discovery, which changes when the configuration file is read again.
     discovery: watch::Receiver<SocketAddr>,
     serving_state: Rc<ServingStateControl>,
-    /// Whether this process can accept messages.
+    /// Whether this process is the sender and can accept messages.
     ready: Rc<Cell<bool>>,
     metrics: Rc<Metrics>,
     invariants: Rc<InvariantMonitor>,
@@ -147,7 +147,7 @@
         let notices = Rc::new(NoticeQueue::default());
         let retries = StartRetries::begin();
         let mut event_loop = self.new_event_loop(ownership.lock, notices.clone(), retries).await?;
-        // Precedes the first connection that is accepted: a process that answers counts as ready.
+        // Done before the first connection is accepted, because a process that answers counts as ready.
         match ownership.inherited {
             Some(inherited) => self.continue_from_predecessor(&mut event_loop, inherited)?,
             None => event_loop.recover(self.config.known.clone()),
--- a/crates/message-sender/src/signals.rs
+++ b/crates/message-sender/src/signals.rs
@@ -1,7 +1,7 @@
 //! The signals that the process handles: SIGHUP, SIGTERM and SIGINT.
 //!
-//! The handlers only set a flag, which is polled some tens of times a second. The runtime's own signal
-//! handling uses a socket pair, whose reads and writes may be interrupted: an interrupted read would end the
+//! The handlers only set a flag, which is polled every [`CHECK_INTERVAL`]. The runtime's own signal handling
+//! uses a socket pair, whose reads and writes may be interrupted: an interrupted read would end the
 //! process, and an interrupted write would lose the signal.
 
 use std::io;
@@ -93,7 +93,7 @@
 }
 
 /// Reads the discovery address from the configuration file and switches to it. A file that cannot be read, or
-/// is half written, is read again until [`RELOAD_RETRY_LIMIT`] has passed since the last signal.
+/// is only partly written, is read again until [`RELOAD_RETRY_LIMIT`] has passed since the last signal.
 async fn reload_discovery_address(hangup: &SignalFlag, discovery: &watch::Sender<SocketAddr>) {
     let mut signalled_at = Instant::now();
     loop {
--- a/crates/message-sender/src/transient.rs
+++ b/crates/message-sender/src/transient.rs
@@ -5,7 +5,7 @@
 
 use rustix::io::Errno;
 
-/// How long the steps of a startup are retried at most: a process must be ready within 30 s.
+/// How long the steps of a startup are retried: a process must be ready within 30 s.
 const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(20);
 /// Pause before a failed startup step is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -64,7 +64,7 @@
 }
 
 impl StartRetries {
-    /// Starts the time limit of a whole startup now.
+    /// Retries for at most [`STARTUP_RETRY_LIMIT`] from now on.
     pub fn begin() -> Self {
         Self::within(STARTUP_RETRY_LIMIT)
     }
