--- a/crates/message-sender/src/event_loop/recovery.rs
+++ b/crates/message-sender/src/event_loop/recovery.rs
@@ -9,7 +9,7 @@
 use super::EventLoop;
 use crate::attempt_id::AttemptId;
 use crate::endpoint_list::EndpointList;
-use crate::handover::relay::RemoteCall;
+use crate::handover::relay::RemoteAttempt;
 use crate::handover::HandoverState;
 use crate::journal::{AcceptedMessage, AttemptHistory, Body, ClockReading, JournalEntry};
 use crate::machine_clock::MachineTime;
@@ -74,7 +74,7 @@
 
     /// Continues from the state that a predecessor handed over. Returns the attempts that the predecessor has
     /// in flight, each with a receiver that completes when the attempt is to be cancelled.
-    pub fn restore(&mut self, state: HandoverState, seed: u64) -> Result<Vec<RemoteCall>, SettingsError> {
+    pub fn restore(&mut self, state: HandoverState, seed: u64) -> Result<Vec<RemoteAttempt>, SettingsError> {
         self.controller = state.controller.restore(self.settings.clone(), seed)?;
         self.registry.restore(state.registry);
         self.clock.restore(state.now);
@@ -96,13 +96,13 @@
                 JournalEntry::Open(accepted, history) => self.recover_message(id, accepted, history),
             }
         }
-        let mut remote_calls = Vec::with_capacity(state.in_flight.len());
-        for attempt in state.in_flight {
-            let cancelled = self.in_flight.start(attempt);
-            remote_calls.push(RemoteCall { attempt, cancelled });
+        let mut remote_attempts = Vec::with_capacity(state.in_flight.len());
+        for attempt_id in state.in_flight {
+            let cancelled = self.in_flight.start(attempt_id);
+            remote_attempts.push(RemoteAttempt { attempt_id, cancelled });
         }
         self.record_clock_reading();
-        Ok(remote_calls)
+        Ok(remote_attempts)
     }
 
     /// Limits the time left to each open message to what its class allows. A message with more time left was
--- a/crates/message-sender/src/handover/relay/mod.rs
+++ b/crates/message-sender/src/handover/relay/mod.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::predecessor::{Predecessor, RelayEnd};
-pub use self::successor::{relay_predecessor, RemoteCall};
+pub use self::successor::{relay_predecessor, RemoteAttempt};
 use super::protocol::Frame;
 use crate::attempt_id::AttemptId;
 use crate::event::FinishedAttempt;
--- a/crates/message-sender/src/handover/relay/successor.rs
+++ b/crates/message-sender/src/handover/relay/successor.rs
@@ -16,9 +16,9 @@
 use crate::submission::{Submission, SubmissionReply};
 
 /// An attempt that the predecessor has in flight.
-pub struct RemoteCall {
-    /// Identifies the attempt.
-    pub attempt: AttemptId,
+pub struct RemoteAttempt {
+    /// The attempt's id.
+    pub attempt_id: AttemptId,
     /// Completes when the event loop drops the sending side, which cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
@@ -27,27 +27,27 @@
 /// replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's connections.
 pub fn relay_predecessor(
     stream: HandoverStream,
-    remote_calls: Vec<RemoteCall>,
+    remote_attempts: Vec<RemoteAttempt>,
     inbox: mpsc::Sender<SenderEvent>,
     limiter: Rc<ConnectionLimiter>,
 ) {
     let (reader, writer) = stream.split();
     let (outgoing, queued) = mpsc::channel(FRAME_QUEUE_CAPACITY);
-    let in_flight = remote_calls.iter().map(|call| call.attempt).collect();
-    for call in remote_calls {
-        tokio::task::spawn_local(relay_cancellation(call, outgoing.clone()));
+    let in_flight = remote_attempts.iter().map(|attempt| attempt.attempt_id).collect();
+    for attempt in remote_attempts {
+        tokio::task::spawn_local(relay_cancellation(attempt, outgoing.clone()));
     }
     let receiver = PredecessorReceiver { reader, in_flight, outgoing, inbox, limiter };
     tokio::task::spawn_local(write_frames(writer, queued));
     tokio::task::spawn_local(receiver.run());
 }
 
-async fn relay_cancellation(call: RemoteCall, outgoing: mpsc::Sender<SuccessorFrame>) {
+async fn relay_cancellation(attempt: RemoteAttempt, outgoing: mpsc::Sender<SuccessorFrame>) {
     // Completes when the event loop drops the sending side. It does so also when the attempt has ended; the
     // predecessor ignores the cancellation then.
-    let _ = call.cancelled.await;
+    let _ = attempt.cancelled.await;
     // Fails if the predecessor has ended, and the attempt with it.
-    let _ = outgoing.send(SuccessorFrame::Cancel(call.attempt)).await;
+    let _ = outgoing.send(SuccessorFrame::Cancel(attempt.attempt_id)).await;
 }
 
 async fn relay_reply(
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -183,8 +183,8 @@
         inherited: InheritedState,
     ) -> Result<(), ProcessError> {
         let InheritedState { state, stream } = inherited;
-        let remote_calls = event_loop.restore(*state, self.config.seed)?;
-        relay::relay_predecessor(stream, remote_calls, self.event_sender.clone(), self.limiter.clone());
+        let remote_attempts = event_loop.restore(*state, self.config.seed)?;
+        relay::relay_predecessor(stream, remote_attempts, self.event_sender.clone(), self.limiter.clone());
         Ok(())
     }
 
