--- a/crates/message-sender/src/handover/ownership.rs
+++ b/crates/message-sender/src/handover/ownership.rs
@@ -12,7 +12,7 @@
 
 use super::error::HandoverError;
 use super::request::{request_handover, InheritedState, RequestedTransfer};
-use crate::transient::{is_transient, MayBeTransient, StartRetries};
+use crate::transient::{is_transient, MayBeTransient, StartupRetries};
 
 const LOCK_FILE: &str = "lock";
 /// Pause between two attempts to take the lock.
@@ -74,7 +74,7 @@
 
 /// Tries to take the lock; `None` while another process holds it. Transient system errors are retried.
 async fn acquire_lock(folder: &Path) -> Result<Option<OwnershipLock>, OwnershipError> {
-    StartRetries::begin().run("ownership lock", || OwnershipLock::try_acquire(folder)).await
+    StartupRetries::begin().run("ownership lock", || OwnershipLock::try_acquire(folder)).await
 }
 
 /// What a process has when it becomes the sender.
@@ -90,7 +90,7 @@
 /// Becomes the sender: immediately if there is none, otherwise by a handover or when the current sender has
 /// ended. Creates the state folder if it does not exist.
 pub async fn acquire_ownership(folder: &Path, names: &Names) -> Result<Ownership, OwnershipError> {
-    let retries = StartRetries::begin();
+    let retries = StartupRetries::begin();
     let create_folder = || {
         std::fs::create_dir_all(folder)
             .map_err(|source| OwnershipError::CreateFolder { path: folder.to_owned(), source })
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -35,7 +35,7 @@
 use crate::serving_state::{ServingState, ServingStateControl};
 use crate::signals::Signals;
 use crate::submission::SubmissionReply;
-use crate::transient::StartRetries;
+use crate::transient::StartupRetries;
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 /// How long a startup retries to read a configuration file that cannot be read or is only partly written.
@@ -45,10 +45,10 @@
 
 /// Runs a sender process until it is shut down, or a successor has taken over and nothing is left to relay.
 pub async fn run() -> Result<(), ProcessError> {
-    let retries = StartRetries::begin();
+    let retries = StartupRetries::begin();
     // Done first: until the handlers are installed, a signal ends the process.
     let signals = retries.run("signal handlers", Signals::install).await.map_err(ProcessError::Signals)?;
-    let configuration_retries = StartRetries::within(CONFIGURATION_RETRY_LIMIT);
+    let configuration_retries = StartupRetries::within(CONFIGURATION_RETRY_LIMIT);
     let config = configuration_retries.run("configuration", Config::from_environment).await?;
     let mut process = SenderProcess::start(config, signals, retries).await?;
     if let Some(ownership) = process.acquire_ownership().await? {
@@ -95,7 +95,7 @@
         let mut ownership = ownership;
         let mut missed_events = Vec::new();
         loop {
-            let retries = StartRetries::begin();
+            let retries = StartupRetries::begin();
             let listener = self.bind_client_listener(ownership.listener.take(), retries).await?;
             let served = self.serve(ownership, &listener, std::mem::take(&mut missed_events)).await?;
             let Some(predecessor) = served else { return Ok(()) };
@@ -124,7 +124,7 @@
     async fn bind_client_listener(
         &self,
         inherited: Option<net::TcpListener>,
-        retries: StartRetries,
+        retries: StartupRetries,
     ) -> Result<Rc<net::TcpListener>, ProcessError> {
         if let Some(listener) = inherited {
             return Ok(Rc::new(listener));
@@ -145,7 +145,7 @@
         missed_events: Vec<SenderEvent>,
     ) -> Result<Option<Predecessor>, ProcessError> {
         let notices = Rc::new(NoticeQueue::default());
-        let retries = StartRetries::begin();
+        let retries = StartupRetries::begin();
         let mut event_loop = self.new_event_loop(ownership.lock, notices.clone(), retries).await?;
         // Done before the first connection is accepted, because a process that answers counts as ready.
         match ownership.inherited {
@@ -192,7 +192,7 @@
         &self,
         lock: OwnershipLock,
         notices: Rc<NoticeQueue>,
-        retries: StartRetries,
+        retries: StartupRetries,
     ) -> Result<EventLoop, ProcessError> {
         let config = &self.config;
         let controller = Controller::new(config.settings.clone(), config.seed)?;
--- a/crates/message-sender/src/process/startup.rs
+++ b/crates/message-sender/src/process/startup.rs
@@ -18,7 +18,7 @@
 use crate::operator_api::{self, OperatorApi};
 use crate::serving_state::ServingStateControl;
 use crate::signals::Signals;
-use crate::transient::StartRetries;
+use crate::transient::StartupRetries;
 
 /// Capacity of the queue of events for the event loop. A task that reports an event to a full queue waits.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
@@ -31,7 +31,7 @@
     pub(super) async fn start(
         config: Config,
         signals: Signals,
-        retries: StartRetries,
+        retries: StartupRetries,
     ) -> Result<Self, ProcessError> {
         let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (command_sender, commands) = mpsc::channel(operator_api::REQUEST_QUEUE_CAPACITY);
@@ -86,7 +86,7 @@
 async fn serve_operators(
     address: SocketAddr,
     operator_api: OperatorApi,
-    retries: StartRetries,
+    retries: StartupRetries,
 ) -> Result<(), ProcessError> {
     let bind = || {
         let listener = net::TcpListener::bind(address)?;
--- a/crates/message-sender/src/transient.rs
+++ b/crates/message-sender/src/transient.rs
@@ -56,14 +56,14 @@
 
 /// Retries the steps of a startup that fail with transient errors, up to a time limit.
 #[derive(Debug, Clone, Copy)]
-pub struct StartRetries {
+pub struct StartupRetries {
     /// When the startup began.
     started: Instant,
     /// How long after that steps are still retried.
     limit: Duration,
 }
 
-impl StartRetries {
+impl StartupRetries {
     /// Retries for at most [`STARTUP_RETRY_LIMIT`] from now on.
     pub fn begin() -> Self {
         Self::within(STARTUP_RETRY_LIMIT)
