--- a/crates/message-sender/src/event_loop/completion.rs
+++ b/crates/message-sender/src/event_loop/completion.rs
@@ -4,7 +4,7 @@
 
 use super::journal_sync::{HeldNotice, UnrecordedStep};
 use super::open_messages::{MessageOrigin, OpenMessage};
-use super::summary::RejectionCause;
+use super::summary::UndeliveredCause;
 use super::EventLoop;
 use crate::delivery::AttemptResult;
 use crate::journal::JournalError;
@@ -45,10 +45,10 @@
     pub(super) fn count_undelivered(&mut self, id: MessageId, outcome: MessageOutcome) {
         let Some(message) = self.open_messages.get(id) else { return };
         let cause = match (outcome, message.attempts, message.origin) {
-            (MessageOutcome::Rejected, 0, MessageOrigin::Recovered) => RejectionCause::RecoveredUnattempted,
-            (MessageOutcome::Rejected, 0, MessageOrigin::Submitted) => RejectionCause::RejectedUnattempted,
-            (MessageOutcome::Rejected, _, _) => RejectionCause::RejectedAttempted,
-            _ => RejectionCause::Failed,
+            (MessageOutcome::Rejected, 0, MessageOrigin::Recovered) => UndeliveredCause::RecoveredUnattempted,
+            (MessageOutcome::Rejected, 0, MessageOrigin::Submitted) => UndeliveredCause::RejectedUnattempted,
+            (MessageOutcome::Rejected, _, _) => UndeliveredCause::RejectedAttempted,
+            _ => UndeliveredCause::Failed,
         };
         tracing::debug!(
             message_id = id,
@@ -57,7 +57,7 @@
             attempts = message.attempts,
             "message rejected or failed"
         );
-        self.summary.count_rejection(cause, message.destination);
+        self.summary.count_undelivered(cause, message.destination);
     }
 
     /// Records a message's end in the journal and queues its notice. A rejection makes the client submit the
--- a/crates/message-sender/src/event_loop/mod.rs
+++ b/crates/message-sender/src/event_loop/mod.rs
@@ -203,7 +203,7 @@
                 }
             }
         }
-        self.summary.log_rejections();
+        self.summary.log_undelivered();
         LoopEnd::Finished
     }
 
@@ -218,9 +218,9 @@
         let idle = now + IDLE_TURN_INTERVAL;
         let periodic = if self.shutdown.is_requested() { now + SHUTDOWN_TURN_INTERVAL } else { idle };
         let timer = self.timers.next_due().map_or(idle, |due| self.clock.instant(due));
-        let rejections = self.summary.rejections_due().unwrap_or(idle);
+        let undelivered = self.summary.undelivered_due().unwrap_or(idle);
         let journal = self.next_journal_retry().unwrap_or(idle);
-        timer.min(periodic).min(rejections).min(journal)
+        timer.min(periodic).min(undelivered).min(journal)
     }
 
     /// Whether the process can terminate: before the shutdown deadline, only if nothing is left to do and no
@@ -245,7 +245,7 @@
     }
 
     fn log_summary(&mut self) {
-        self.summary.log_rejections();
+        self.summary.log_undelivered();
         self.summary.log_traffic(self.open_messages.destinations(), self.in_flight.len());
     }
 
--- a/crates/message-sender/src/event_loop/submissions.rs
+++ b/crates/message-sender/src/event_loop/submissions.rs
@@ -8,7 +8,7 @@
 use super::audit::GuardRegistration;
 use super::journal_sync::UnrecordedStep;
 use super::open_messages::{MessageOrigin, OpenMessage};
-use super::summary::RejectionCause;
+use super::summary::UndeliveredCause;
 use super::EventLoop;
 use crate::endpoint_registry::DestinationStatus;
 use crate::journal::{AcceptedMessage, Body, JournalError};
@@ -69,7 +69,7 @@
     }
 
     /// Stores a message in the journal under a new id, if the message can be accepted. Returns the id.
-    fn admit(&mut self, now: Micros, submission: &Submission) -> Result<MessageId, RejectionCause> {
+    fn admit(&mut self, now: Micros, submission: &Submission) -> Result<MessageId, UndeliveredCause> {
         self.check_admissible(submission)?;
         let id = self.next_message_id;
         self.journal_submission(now, id, submission)?;
@@ -78,21 +78,21 @@
     }
 
     /// Checks whether a message can be accepted, as far as the event loop can tell without the controller.
-    fn check_admissible(&self, submission: &Submission) -> Result<(), RejectionCause> {
+    fn check_admissible(&self, submission: &Submission) -> Result<(), UndeliveredCause> {
         if self.shutdown.attempts_have_stopped() {
             // Only the next process could attempt the message, some seconds from now. Another sender can do
             // so sooner.
-            return Err(RejectionCause::ShuttingDown);
+            return Err(UndeliveredCause::ShuttingDown);
         }
         match self.registry.destination_status(submission.destination) {
             DestinationStatus::Known => {}
-            DestinationStatus::Unknown => return Err(RejectionCause::UnknownDestination),
-            DestinationStatus::Undetermined => return Err(RejectionCause::UndeterminedDestination),
+            DestinationStatus::Unknown => return Err(UndeliveredCause::UnknownDestination),
+            DestinationStatus::Undetermined => return Err(UndeliveredCause::UndeterminedDestination),
         }
         if self.open_messages.len() + self.notices.len() + self.journal_sync.held_count()
             >= self.settings.limits.buffer_capacity
         {
-            return Err(RejectionCause::BufferFull);
+            return Err(UndeliveredCause::BufferFull);
         }
         Ok(())
     }
@@ -102,7 +102,7 @@
         now: Micros,
         id: MessageId,
         submission: &Submission,
-    ) -> Result<(), RejectionCause> {
+    ) -> Result<(), UndeliveredCause> {
         let accepted = AcceptedMessage {
             call_id: submission.call_id.clone(),
             key: submission.key.clone(),
@@ -115,9 +115,9 @@
         self.journal.borrow_mut().record_accepted(id, accepted).map_err(|error| {
             self.journal_failures.count(UnrecordedStep::Submission, &error);
             match error {
-                JournalError::Full => RejectionCause::JournalFull,
-                JournalError::Uncertain => RejectionCause::JournalUncertain,
-                _ => RejectionCause::JournalUnavailable,
+                JournalError::Full => UndeliveredCause::JournalFull,
+                JournalError::Uncertain => UndeliveredCause::JournalUncertain,
+                _ => UndeliveredCause::JournalUnavailable,
             }
         })
     }
@@ -172,14 +172,14 @@
     fn reject_submission(
         &mut self,
         submission: &Submission,
-        cause: RejectionCause,
+        cause: UndeliveredCause,
         reply: oneshot::Sender<SubmissionReply>,
     ) {
         tracing::debug!(call_id = submission.call_id, ?cause, "submission rejected");
-        self.summary.count_rejection(cause, submission.destination);
+        self.summary.count_undelivered(cause, submission.destination);
         let answer = match cause {
-            RejectionCause::UnknownDestination => SubmissionReply::UnknownDestination,
-            RejectionCause::JournalUncertain => {
+            UndeliveredCause::UnknownDestination => SubmissionReply::UnknownDestination,
+            UndeliveredCause::JournalUncertain => {
                 self.metrics.count_outcome(submission.class, MessageOutcome::Failed);
                 SubmissionReply::Undetermined
             }
--- a/crates/message-sender/src/event_loop/summary.rs
+++ b/crates/message-sender/src/event_loop/summary.rs
@@ -12,7 +12,7 @@
 
 /// Minimum time between two summaries of undelivered messages. An overloaded sender rejects hundreds of
 /// messages a second.
-const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
+const UNDELIVERED_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum time between two summaries of traffic.
 const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of destinations in a traffic summary, which lists those whose attempts were in flight
@@ -23,7 +23,7 @@
 
 /// Why a message was not delivered, or not even accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RejectionCause {
+pub enum UndeliveredCause {
     /// The buffer is full.
     BufferFull,
     /// The journal has no space left for the message.
@@ -48,7 +48,7 @@
     Failed,
 }
 
-impl RejectionCause {
+impl UndeliveredCause {
     /// Whether messages are counted for each destination separately. Clients may name any number of
     /// destinations that do not exist, so messages for those are counted together.
     fn is_counted_by_destination(self) -> bool {
@@ -58,7 +58,7 @@
 
 /// Messages not delivered for one cause since the last summary.
 #[derive(Debug, Default)]
-struct RejectionCounts {
+struct UndeliveredCounts {
     messages: u32,
     by_destination: BTreeMap<DestinationId, u32>,
 }
@@ -168,8 +168,8 @@
 
 /// Counts messages and attempts, and logs the counts periodically.
 pub struct LogSummary {
-    rejections: BTreeMap<RejectionCause, RejectionCounts>,
-    rejections_logged_at: Instant,
+    undelivered: BTreeMap<UndeliveredCause, UndeliveredCounts>,
+    undelivered_logged_at: Instant,
     traffic: Traffic,
     traffic_logged_at: Instant,
 }
@@ -179,8 +179,8 @@
     pub fn new() -> Self {
         let now = Instant::now();
         Self {
-            rejections: BTreeMap::new(),
-            rejections_logged_at: now,
+            undelivered: BTreeMap::new(),
+            undelivered_logged_at: now,
             traffic: Traffic::default(),
             traffic_logged_at: now,
         }
@@ -217,8 +217,8 @@
     }
 
     /// Counts a message that was not delivered.
-    pub fn count_rejection(&mut self, cause: RejectionCause, destination: DestinationId) {
-        let counts = self.rejections.entry(cause).or_default();
+    pub fn count_undelivered(&mut self, cause: UndeliveredCause, destination: DestinationId) {
+        let counts = self.undelivered.entry(cause).or_default();
         counts.messages += 1;
         if cause.is_counted_by_destination() {
             *counts.by_destination.entry(destination).or_default() += 1;
@@ -226,21 +226,21 @@
     }
 
     /// When the next summary of undelivered messages is due; `None` if there are none.
-    pub fn rejections_due(&self) -> Option<Instant> {
-        if self.rejections.is_empty() {
+    pub fn undelivered_due(&self) -> Option<Instant> {
+        if self.undelivered.is_empty() {
             return None;
         }
-        Some(self.rejections_logged_at + REJECTION_LOG_INTERVAL)
+        Some(self.undelivered_logged_at + UNDELIVERED_LOG_INTERVAL)
     }
 
     /// Logs the undelivered messages if their summary is due, with a log line for each cause.
-    pub fn log_rejections(&mut self) {
-        if self.rejections_due().is_none_or(|due| due > Instant::now()) {
+    pub fn log_undelivered(&mut self) {
+        if self.undelivered_due().is_none_or(|due| due > Instant::now()) {
             return;
         }
-        self.rejections_logged_at = Instant::now();
-        for (cause, counts) in std::mem::take(&mut self.rejections) {
-            let RejectionCounts { messages, by_destination } = counts;
+        self.undelivered_logged_at = Instant::now();
+        for (cause, counts) in std::mem::take(&mut self.undelivered) {
+            let UndeliveredCounts { messages, by_destination } = counts;
             tracing::warn!(?cause, messages, ?by_destination, "messages not delivered");
         }
     }
--- a/crates/message-sender/src/event_loop/tests.rs
+++ b/crates/message-sender/src/event_loop/tests.rs
@@ -14,7 +14,7 @@
 use super::in_flight::InFlightAttempts;
 use super::open_messages::{MessageOrigin, OpenMessage, OpenMessages};
 use super::shutdown::Shutdown;
-use super::summary::{LogSummary, RejectionCause};
+use super::summary::{LogSummary, UndeliveredCause};
 use super::timers::Timers;
 use crate::attempt_id::AttemptId;
 use crate::delivery::AttemptResult;
@@ -187,18 +187,18 @@
 async fn rejections_are_logged_by_cause_once_a_second_at_most() {
     let (log, _guard) = CapturedLog::start();
     let mut summary = LogSummary::new();
-    assert_eq!(summary.rejections_due(), None);
-    summary.count_rejection(RejectionCause::BufferFull, 7);
-    summary.count_rejection(RejectionCause::BufferFull, 7);
-    summary.count_rejection(RejectionCause::UnknownDestination, 8);
-    summary.count_rejection(RejectionCause::UnknownDestination, 9);
+    assert_eq!(summary.undelivered_due(), None);
+    summary.count_undelivered(UndeliveredCause::BufferFull, 7);
+    summary.count_undelivered(UndeliveredCause::BufferFull, 7);
+    summary.count_undelivered(UndeliveredCause::UnknownDestination, 8);
+    summary.count_undelivered(UndeliveredCause::UnknownDestination, 9);
     advance(Duration::from_millis(999)).await;
-    summary.log_rejections();
+    summary.log_undelivered();
     assert!(log.lines().is_empty());
     advance(Duration::from_millis(1)).await;
-    assert_eq!(summary.rejections_due(), Some(Instant::now()));
-    summary.log_rejections();
-    summary.log_rejections();
+    assert_eq!(summary.undelivered_due(), Some(Instant::now()));
+    summary.log_undelivered();
+    summary.log_undelivered();
     let expected = [
         "WARN messages not delivered cause=BufferFull messages=2 by_destination={7: 2}",
         "WARN messages not delivered cause=UnknownDestination messages=2 by_destination={}",
