--- a/crates/delivery-control/src/action.rs
+++ b/crates/delivery-control/src/action.rs
@@ -15,7 +15,7 @@
         /// Timeout of this attempt.
         timeout: Micros,
         /// Latest time at which sending may begin; nothing is sent on a connection established later.
-        begin_by: Micros,
+        start_deadline: Micros,
     },
     /// Cancel an attempt.
     Cancel {
--- a/crates/delivery-control/src/dispatch.rs
+++ b/crates/delivery-control/src/dispatch.rs
@@ -70,11 +70,11 @@
         let chance = self.random.f64();
         let message = &self.state.messages[id];
         let timeout = retry::timeout(self.context, message, &self.state.endpoints[to]);
-        let begin_by = retry::latest_start(self.context, message);
+        let start_deadline = retry::latest_start(self.context, message);
         let joined = self.state.in_flight.join_batch(to);
         let call = joined.unwrap_or_else(|| self.start_call(to, chance));
         self.state.record_attempt(self.context, id, to, call);
-        self.actions.push(Action::Send { id, endpoint: to, timeout, begin_by });
+        self.actions.push(Action::Send { id, endpoint: to, timeout, start_deadline });
     }
 
     /// Starts a call, and updates the endpoint's connections and health and the route's rate limit.
--- a/crates/message-sender/src/event_loop/attempts.rs
+++ b/crates/message-sender/src/event_loop/attempts.rs
@@ -23,7 +23,7 @@
     pub timeout: Micros,
     /// The latest time to send the first byte, in microseconds of the journal's clock. The attempt is not
     /// sent after this time.
-    pub begin_by: Micros,
+    pub start_deadline: Micros,
 }
 
 impl EventLoop {
@@ -74,7 +74,7 @@
             body: message.body.clone(),
             timeout: duration(limits.timeout),
             decided_at: Instant::now(),
-            start_deadline: self.clock.instant(limits.begin_by),
+            start_deadline: self.clock.instant(limits.start_deadline),
             on_phase: self.phase_recorder(
                 AttemptStart { sent_at: now, zone: registered.zone as u64 },
                 AttemptStarting {
--- a/crates/message-sender/src/event_loop/turn.rs
+++ b/crates/message-sender/src/event_loop/turn.rs
@@ -36,8 +36,8 @@
 
     fn execute(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, endpoint, timeout, begin_by } => {
-                self.start_attempt(now, id, endpoint, AttemptLimits { timeout, begin_by });
+            Action::Send { id, endpoint, timeout, start_deadline } => {
+                self.start_attempt(now, id, endpoint, AttemptLimits { timeout, start_deadline });
             }
             Action::Cancel { id, attempt } => self.in_flight.remove(AttemptId { message_id: id, attempt }),
             Action::Reject { id, retry_after } => {
