--- a/crates/message-sender/src/client_api/server.rs
+++ b/crates/message-sender/src/client_api/server.rs
@@ -43,7 +43,7 @@
     /// The names of classes and tenants.
     pub names: Names,
     /// The channel that submits messages to the event loop.
-    pub inbox: mpsc::Sender<SenderEvent>,
+    pub event_sender: mpsc::Sender<SenderEvent>,
     /// The serving state of the process. While it does not serve, connections are closed as soon as their
     /// requests are answered.
     pub serving_state: watch::Receiver<ServingState>,
@@ -194,7 +194,7 @@
         // `reply` closed.
         let (reply, answer) = oneshot::channel();
         let event = SenderEvent::Submitted(Box::new(submission), reply);
-        self.inbox.send(event).await.map_err(|_| RequestError::Unavailable)?;
+        self.event_sender.send(event).await.map_err(|_| RequestError::Unavailable)?;
         answer.await.map_err(|_| RequestError::Unavailable)
     }
 }
--- a/crates/message-sender/src/delivery/client.rs
+++ b/crates/message-sender/src/delivery/client.rs
@@ -104,13 +104,13 @@
         })
     }
 
-    /// Makes one attempt and returns its result. A message on `cancel`, or dropping its sender, cancels the
-    /// attempt. Unless the message was delivered, the response has arrived in full or the connection is
+    /// Makes one attempt and returns its result. A message on `cancelled`, or dropping its sender, cancels
+    /// the attempt. Unless the message was delivered, the response has arrived in full or the connection is
     /// closed before this function returns, so that two attempts of a message are never open at the same
     /// time.
-    pub async fn call(self: Rc<Self>, call: Call, cancel: oneshot::Receiver<()>) -> AttemptResult {
+    pub async fn call(self: Rc<Self>, call: Call, cancelled: oneshot::Receiver<()>) -> AttemptResult {
         let mut progress = AttemptProgress::new(&call);
-        let result = self.run_to_end(&call, &mut progress, cancel).await;
+        let result = self.run_to_end(&call, &mut progress, cancelled).await;
         AttemptResult { request_started: progress.request_started, ..result }
     }
 
@@ -166,12 +166,12 @@
         self: &Rc<Self>,
         call: &Call,
         progress: &mut AttemptProgress,
-        cancel: oneshot::Receiver<()>,
+        cancelled: oneshot::Receiver<()>,
     ) -> AttemptResult {
         let ended = tokio::select! {
             biased;
             // A dropped sender cancels the attempt too: nobody is left to receive the outcome.
-            _ = cancel => Err(AttemptOutcome::Cancelled),
+            _ = cancelled => Err(AttemptOutcome::Cancelled),
             ended = self.attempt(call, progress) => ended,
             () = sleep(call.timeout) => Err(AttemptOutcome::Timeout),
         };
--- a/crates/message-sender/src/delivery/client/tests.rs
+++ b/crates/message-sender/src/delivery/client/tests.rs
@@ -120,8 +120,8 @@
 }
 
 async fn outcome_of(client: &Rc<DeliveryClient>, call: Call) -> AttemptOutcome {
-    let (_cancel_sender, cancel) = oneshot::channel();
-    client.clone().call(call, cancel).await.outcome
+    let (_cancel_sender, cancelled) = oneshot::channel();
+    client.clone().call(call, cancelled).await.outcome
 }
 
 async fn outcome(client: &Rc<DeliveryClient>, address: SocketAddr) -> AttemptOutcome {
@@ -257,8 +257,8 @@
             // The connection is in progress, or the queue does not accept it.
             let _ = queue_filler.connect(&address);
         }
-        let (cancel_sender, cancel) = oneshot::channel();
-        let call = client().call(call_to(address.as_socket().unwrap()), cancel);
+        let (cancel_sender, cancelled) = oneshot::channel();
+        let call = client().call(call_to(address.as_socket().unwrap()), cancelled);
         let cancellation = async {
             tokio::task::yield_now().await;
             drop(cancel_sender);
--- a/crates/message-sender/src/delivery/response.rs
+++ b/crates/message-sender/src/delivery/response.rs
@@ -15,7 +15,7 @@
 const RETRY_AFTER_MS: &str = "x-come-back-ms";
 /// Maximum Retry-After (more than 11 days), so that arithmetic on it cannot overflow.
 const MAX_RETRY_AFTER_MS: f64 = 1e9;
-const MICROS_PER_MS: f64 = 1e3;
+const MICROS_PER_MILLI: f64 = 1e3;
 
 /// Whether the status alone says that the message was delivered.
 pub fn is_delivered(status: u16) -> bool {
@@ -47,7 +47,7 @@
         .filter(|ms| ms.is_finite())
         .unwrap_or(0.0)
         .clamp(0.0, MAX_RETRY_AFTER_MS);
-    (retry_after_ms * MICROS_PER_MS).ceil() as Micros
+    (retry_after_ms * MICROS_PER_MILLI).ceil() as Micros
 }
 
 fn header_number(headers: &HeaderMap, name: &str) -> Option<f64> {
--- a/crates/message-sender/src/discovery/notices.rs
+++ b/crates/message-sender/src/discovery/notices.rs
@@ -32,7 +32,7 @@
 /// Maximum number of notices in one request.
 const MAX_BATCH: usize = 64;
 /// Microseconds per millisecond, the unit of durations on the wire.
-const MICROS_PER_MILLISECOND: Micros = 1_000;
+const MICROS_PER_MILLI: Micros = 1_000;
 
 /// Notices that are not acknowledged, oldest first. The event loop counts them against its buffer capacity,
 /// which limits their number.
@@ -167,7 +167,7 @@
             NoticeResult::Failed => (LineResult::Failed, 0),
             NoticeResult::Rejected { retry_after } => (LineResult::Rejected, retry_after),
         };
-        let retry_after_ms = retry_after / MICROS_PER_MILLISECOND;
+        let retry_after_ms = retry_after / MICROS_PER_MILLI;
         Self {
             call_id: &notice.call_id,
             result,
--- a/crates/message-sender/src/endpoint_list.rs
+++ b/crates/message-sender/src/endpoint_list.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 /// Microseconds per millisecond, the unit of times on the wire.
-const MICROS_PER_MILLISECOND: f64 = 1e3;
+const MICROS_PER_MILLI: f64 = 1e3;
 
 /// A complete endpoint list, or only the entries that have changed.
 #[derive(Debug, Clone, Deserialize)]
@@ -63,7 +63,7 @@
 impl ListedEndpoint {
     /// When it came online, in microseconds of the platform's clock, if known.
     pub fn online_since(&self) -> Option<Micros> {
-        let online_since = (self.online_since_ms * MICROS_PER_MILLISECOND) as Micros;
+        let online_since = (self.online_since_ms * MICROS_PER_MILLI) as Micros;
         (online_since > 0).then_some(online_since)
     }
 }
--- a/crates/message-sender/src/handover/relay/predecessor.rs
+++ b/crates/message-sender/src/handover/relay/predecessor.rs
@@ -80,19 +80,19 @@
     /// shut down, or the successor has died.
     pub async fn run(
         mut self,
-        inbox: &mut mpsc::Receiver<SenderEvent>,
+        events: &mut mpsc::Receiver<SenderEvent>,
         limiter: &ConnectionLimiter,
     ) -> RelayEnd {
         let mut poll = interval(POLL_INTERVAL);
         loop {
             let relayed = tokio::select! {
-                Some(event) = inbox.recv() => self.relay(event).await,
+                Some(event) = events.recv() => self.relay(event).await,
                 frame = self.frames.recv() => match frame {
                     Some(frame) => {
                         self.handle(frame);
                         Ok(())
                     }
-                    None => return self.end_without_successor(inbox).await,
+                    None => return self.end_without_successor(events).await,
                 },
                 _ = poll.tick() => {
                     if self.is_finished(limiter) {
@@ -104,7 +104,7 @@
             };
             if let Err(error) = relayed {
                 tracing::warn!(%error, "successor lost");
-                return self.end_without_successor(inbox).await;
+                return self.end_without_successor(events).await;
             }
         }
     }
@@ -187,25 +187,25 @@
     /// Ends the relay after the successor's death. Unless a shutdown has been requested, cancels the attempts
     /// in flight and waits for their ends: otherwise a message could have two attempts in flight at once
     /// after the journal has been read again.
-    async fn end_without_successor(mut self, inbox: &mut mpsc::Receiver<SenderEvent>) -> RelayEnd {
+    async fn end_without_successor(mut self, events: &mut mpsc::Receiver<SenderEvent>) -> RelayEnd {
         if self.shutdown_requested_at.is_some() {
             self.reply_undetermined();
             return RelayEnd::Finished;
         }
-        let mut events = Vec::new();
+        let mut missed_events = Vec::new();
         for pending in self.pending.into_values() {
-            events.push(SenderEvent::Submitted(pending.submission, pending.reply));
+            missed_events.push(SenderEvent::Submitted(pending.submission, pending.reply));
         }
         // Drops the cancellation handles, which cancels the attempts.
         let mut in_flight: BTreeSet<AttemptId> = self.in_flight.into_keys().collect();
         while !in_flight.is_empty() {
-            let Some(event) = inbox.recv().await else { return RelayEnd::Finished };
+            let Some(event) = events.recv().await else { return RelayEnd::Finished };
             if let SenderEvent::AttemptEnded(finished) = &event {
                 in_flight.remove(&finished.attempt_id);
             }
-            events.push(event);
+            missed_events.push(event);
         }
-        RelayEnd::SuccessorDied(events)
+        RelayEnd::SuccessorDied(missed_events)
     }
 }
 
--- a/crates/message-sender/src/handover/relay/successor.rs
+++ b/crates/message-sender/src/handover/relay/successor.rs
@@ -23,12 +23,13 @@
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Starts the tasks that pass the predecessor's events to the event loop (`inbox`), and the event loop's
-/// replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's connections.
+/// Starts the tasks that pass the predecessor's events to the event loop, over `event_sender`, and the event
+/// loop's replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's
+/// connections.
 pub fn relay_predecessor(
     stream: HandoverStream,
     remote_attempts: Vec<RemoteAttempt>,
-    inbox: mpsc::Sender<SenderEvent>,
+    event_sender: mpsc::Sender<SenderEvent>,
     limiter: Rc<ConnectionLimiter>,
 ) {
     let (reader, writer) = stream.split();
@@ -37,7 +38,7 @@
     for attempt in remote_attempts {
         tokio::task::spawn_local(relay_cancellation(attempt, outgoing.clone()));
     }
-    let receiver = PredecessorReceiver { reader, in_flight, outgoing, inbox, limiter };
+    let receiver = PredecessorReceiver { reader, in_flight, outgoing, event_sender, limiter };
     tokio::task::spawn_local(write_frames(writer, queued));
     tokio::task::spawn_local(receiver.run());
 }
@@ -75,7 +76,7 @@
     /// The predecessor's attempts whose end has not been relayed yet.
     in_flight: BTreeSet<AttemptId>,
     outgoing: mpsc::Sender<SuccessorFrame>,
-    inbox: mpsc::Sender<SenderEvent>,
+    event_sender: mpsc::Sender<SenderEvent>,
     limiter: Rc<ConnectionLimiter>,
 }
 
@@ -83,7 +84,7 @@
     async fn run(mut self) {
         while let Ok(frame) = read_frame(&mut self.reader).await {
             let Some(event) = self.handle(frame) else { continue };
-            if self.inbox.send(event).await.is_err() {
+            if self.event_sender.send(event).await.is_err() {
                 return;
             }
         }
@@ -112,7 +113,8 @@
         SenderEvent::Submitted(submission, sender)
     }
 
-    /// Reports the attempts that are left as reset: their connections ended with the predecessor.
+    /// Reports the attempts that are left as reset: their connections ended with the predecessor. Their
+    /// endpoints are not known here, so 0 stands for each; no endpoint has that id.
     async fn reset_attempts(self) {
         for attempt_id in self.in_flight {
             let event = SenderEvent::AttemptEnded(FinishedAttempt {
@@ -121,7 +123,7 @@
                 elapsed: 0,
                 result: AttemptOutcome::Reset.into(),
             });
-            if self.inbox.send(event).await.is_err() {
+            if self.event_sender.send(event).await.is_err() {
                 return;
             }
         }
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -70,7 +70,7 @@
     invariants: Rc<InvariantMonitor>,
     delivery: Rc<DeliveryClient>,
     limiter: Rc<ConnectionLimiter>,
-    clients: Rc<ClientApi>,
+    client_api: Rc<ClientApi>,
     event_sender: mpsc::Sender<SenderEvent>,
     events: mpsc::Receiver<SenderEvent>,
     commands: mpsc::Receiver<OperatorRequest>,
@@ -236,7 +236,7 @@
             self.config.known.as_ref().map(|list| list.version),
         ));
         tasks.spawn_local(notices.send(self.discovery.clone(), self.event_sender.clone()));
-        tasks.spawn_local(self.clients.clone().serve(accepting));
+        tasks.spawn_local(self.client_api.clone().serve(accepting));
         tasks
     }
 
--- a/crates/message-sender/src/process/startup.rs
+++ b/crates/message-sender/src/process/startup.rs
@@ -54,10 +54,10 @@
         let shares = config.limits.shares(config.settings.limits.max_in_flight);
         let delivery = DeliveryClient::new(&config.settings.limits, shares.idle, metrics.attempts.clone());
         let limiter = ConnectionLimiter::new(shares.clients);
-        let clients = Rc::new(ClientApi {
+        let client_api = Rc::new(ClientApi {
             settings: config.settings.clone(),
             names: config.names.clone(),
-            inbox: event_sender.clone(),
+            event_sender: event_sender.clone(),
             serving_state: serving_state.subscribe(),
             limiter: limiter.clone(),
         });
@@ -72,7 +72,7 @@
             invariants,
             delivery,
             limiter,
-            clients,
+            client_api,
             event_sender,
             events,
             commands,
