--- a/crates/message-sender/src/delivery/client.rs
+++ b/crates/message-sender/src/delivery/client.rs
@@ -22,15 +22,15 @@
 use crate::time::duration;
 use crate::transient::is_local_shortage;
 
-/// Maximum length of a response body that is read. The body is not used, but must be read before its
-/// connection can carry another request.
+/// Maximum length of a response body that is read, in bytes. The body is not used, but must be read before
+/// its connection can carry another request.
 const MAX_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 /// Idle connections are closed after this share of the time for which endpoints keep them: an attempt that
 /// is sent while the endpoint closes the connection would end as a reset.
 const IDLE_TIME_SHARE: f64 = 0.7;
 /// Interval between removals of expired state.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Minimum interval between log events about failed attempts.
+/// Minimum time between two log lines about failed attempts.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval at which the recorded lifetimes of idle connections decay.
 const LIFETIME_DECAY_INTERVAL: Duration = Duration::from_secs(1);
@@ -104,13 +104,13 @@
         })
     }
 
-    /// Makes one attempt and returns its result. A message on `cancel`, or dropping its sender, cancels the
-    /// attempt. Unless the message was delivered, the response has arrived in full or the connection is
+    /// Makes one attempt and returns its result. A message on `cancelled`, or dropping its sender, cancels
+    /// the attempt. Unless the message was delivered, the response has arrived in full or the connection is
     /// closed before this function returns, so that two attempts of a message are never open at the same
     /// time.
-    pub async fn call(self: Rc<Self>, call: Call, cancel: oneshot::Receiver<()>) -> AttemptResult {
+    pub async fn call(self: Rc<Self>, call: Call, cancelled: oneshot::Receiver<()>) -> AttemptResult {
         let mut progress = AttemptProgress::new(&call);
-        let result = self.run_to_end(&call, &mut progress, cancel).await;
+        let result = self.run_to_end(&call, &mut progress, cancelled).await;
         AttemptResult { request_started: progress.request_started, ..result }
     }
 
@@ -166,12 +166,12 @@
         self: &Rc<Self>,
         call: &Call,
         progress: &mut AttemptProgress,
-        cancel: oneshot::Receiver<()>,
+        cancelled: oneshot::Receiver<()>,
     ) -> AttemptResult {
         let ended = tokio::select! {
             biased;
             // A dropped sender cancels the attempt too: nobody is left to receive the outcome.
-            _ = cancel => Err(AttemptOutcome::Cancelled),
+            _ = cancelled => Err(AttemptOutcome::Cancelled),
             ended = self.attempt(call, progress) => ended,
             () = sleep(call.timeout) => Err(AttemptOutcome::Timeout),
         };
--- a/crates/message-sender/src/discovery/notices.rs
+++ b/crates/message-sender/src/discovery/notices.rs
@@ -32,7 +32,7 @@
 /// Maximum number of notices in one request.
 const MAX_BATCH: usize = 64;
 /// Microseconds per millisecond, the unit of durations on the wire.
-const MICROS_PER_MILLISECOND: Micros = 1_000;
+const MICROS_PER_MILLI: Micros = 1_000;
 
 /// Notices that are not acknowledged, oldest first. The event loop counts them against its buffer capacity,
 /// which limits their number.
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Prepares the next attempt after a failed one: closes the connection, so that the next attempt opens a
+    /// Prepares the next request after a failed one: closes the connection, so that the next request opens a
     /// new one, and after any error other than a timeout waits for the retry delay.
     async fn prepare_retry(&mut self, error: &DiscoveryError, notices: usize) {
         self.client.disconnect();
@@ -167,7 +167,7 @@
             NoticeResult::Failed => (LineResult::Failed, 0),
             NoticeResult::Rejected { retry_after } => (LineResult::Rejected, retry_after),
         };
-        let retry_after_ms = retry_after / MICROS_PER_MILLISECOND;
+        let retry_after_ms = retry_after / MICROS_PER_MILLI;
         Self {
             call_id: &notice.call_id,
             result,
--- a/crates/message-sender/src/event_loop/attempts.rs
+++ b/crates/message-sender/src/event_loop/attempts.rs
@@ -21,8 +21,9 @@
 pub struct AttemptLimits {
     /// How long the attempt may take, in microseconds.
     pub timeout: Micros,
-    /// The latest time for its first byte, on the journal's clock. Past this time the attempt is not sent.
-    pub begin_by: Micros,
+    /// The latest time to send the first byte, in microseconds of the journal's clock. The attempt is not
+    /// sent after this time.
+    pub start_deadline: Micros,
 }
 
 impl EventLoop {
@@ -73,7 +74,7 @@
             body: message.body.clone(),
             timeout: duration(limits.timeout),
             decided_at: Instant::now(),
-            start_deadline: self.clock.instant(limits.begin_by),
+            start_deadline: self.clock.instant(limits.start_deadline),
             on_phase: self.phase_recorder(
                 AttemptStart { sent_at: now, zone: registered.zone as u64 },
                 AttemptStarting {
--- a/crates/message-sender/src/handover/relay/successor.rs
+++ b/crates/message-sender/src/handover/relay/successor.rs
@@ -16,38 +16,39 @@
 use crate::submission::{Submission, SubmissionReply};
 
 /// An attempt that the predecessor has in flight.
-pub struct RemoteCall {
-    /// Identifies the attempt.
-    pub attempt: AttemptId,
+pub struct RemoteAttempt {
+    /// The attempt's id.
+    pub attempt_id: AttemptId,
     /// Completes when the event loop drops the sending side, which cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// Starts the tasks that pass the predecessor's events to the event loop (`inbox`), and the event loop's
-/// replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's connections.
+/// Starts the tasks that pass the predecessor's events to the event loop, over `event_sender`, and the event
+/// loop's replies and cancellations to the predecessor. `limiter` reserves slots for the predecessor's
+/// connections.
 pub fn relay_predecessor(
     stream: HandoverStream,
-    remote_calls: Vec<RemoteCall>,
-    inbox: mpsc::Sender<SenderEvent>,
+    remote_attempts: Vec<RemoteAttempt>,
+    event_sender: mpsc::Sender<SenderEvent>,
     limiter: Rc<ConnectionLimiter>,
 ) {
     let (reader, writer) = stream.split();
     let (outgoing, queued) = mpsc::channel(FRAME_QUEUE_CAPACITY);
-    let in_flight = remote_calls.iter().map(|call| call.attempt).collect();
-    for call in remote_calls {
-        tokio::task::spawn_local(relay_cancellation(call, outgoing.clone()));
+    let in_flight = remote_attempts.iter().map(|attempt| attempt.attempt_id).collect();
+    for attempt in remote_attempts {
+        tokio::task::spawn_local(relay_cancellation(attempt, outgoing.clone()));
     }
-    let receiver = PredecessorReceiver { reader, in_flight, outgoing, inbox, limiter };
+    let receiver = PredecessorReceiver { reader, in_flight, outgoing, event_sender, limiter };
     tokio::task::spawn_local(write_frames(writer, queued));
     tokio::task::spawn_local(receiver.run());
 }
 
-async fn relay_cancellation(call: RemoteCall, outgoing: mpsc::Sender<SuccessorFrame>) {
+async fn relay_cancellation(attempt: RemoteAttempt, outgoing: mpsc::Sender<SuccessorFrame>) {
     // Completes when the event loop drops the sending side. It does so also when the attempt has ended; the
     // predecessor ignores the cancellation then.
-    let _ = call.cancelled.await;
+    let _ = attempt.cancelled.await;
     // Fails if the predecessor has ended, and the attempt with it.
-    let _ = outgoing.send(SuccessorFrame::Cancel(call.attempt)).await;
+    let _ = outgoing.send(SuccessorFrame::Cancel(attempt.attempt_id)).await;
 }
 
 async fn relay_reply(
@@ -75,7 +76,7 @@
     /// The predecessor's attempts whose end has not been relayed yet.
     in_flight: BTreeSet<AttemptId>,
     outgoing: mpsc::Sender<SuccessorFrame>,
-    inbox: mpsc::Sender<SenderEvent>,
+    event_sender: mpsc::Sender<SenderEvent>,
     limiter: Rc<ConnectionLimiter>,
 }
 
@@ -83,7 +84,7 @@
     async fn run(mut self) {
         while let Ok(frame) = read_frame(&mut self.reader).await {
             let Some(event) = self.handle(frame) else { continue };
-            if self.inbox.send(event).await.is_err() {
+            if self.event_sender.send(event).await.is_err() {
                 return;
             }
         }
@@ -112,7 +113,8 @@
         SenderEvent::Submitted(submission, sender)
     }
 
-    /// Reports the attempts that are left as reset: their connections ended with the predecessor.
+    /// Reports the attempts that are left as reset: their connections ended with the predecessor. Their
+    /// endpoints are not known here, so 0 stands for each; no endpoint has that id.
     async fn reset_attempts(self) {
         for attempt_id in self.in_flight {
             let event = SenderEvent::AttemptEnded(FinishedAttempt {
@@ -121,7 +123,7 @@
                 elapsed: 0,
                 result: AttemptOutcome::Reset.into(),
             });
-            if self.inbox.send(event).await.is_err() {
+            if self.event_sender.send(event).await.is_err() {
                 return;
             }
         }
--- a/crates/message-sender/src/process/mod.rs
+++ b/crates/message-sender/src/process/mod.rs
@@ -35,20 +35,20 @@
 use crate::serving_state::{ServingState, ServingStateControl};
 use crate::signals::Signals;
 use crate::submission::SubmissionReply;
-use crate::transient::StartRetries;
+use crate::transient::StartupRetries;
 
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// How long a start keeps reading a configuration that cannot be read for the moment, or is half written.
+/// How long a startup retries to read a configuration file that cannot be read or is only partly written.
 const CONFIGURATION_RETRY_LIMIT: Duration = Duration::from_secs(2);
 /// Pause before another attempt to bind the handover socket.
 const HANDOVER_BIND_PAUSE: Duration = Duration::from_millis(100);
 
 /// Runs a sender process until it is shut down, or a successor has taken over and nothing is left to relay.
 pub async fn run() -> Result<(), ProcessError> {
-    let retries = StartRetries::begin();
-    // Comes first: until the handlers are installed, a signal ends the process.
+    let retries = StartupRetries::begin();
+    // Done first: until the handlers are installed, a signal ends the process.
     let signals = retries.run("signal handlers", Signals::install).await.map_err(ProcessError::Signals)?;
-    let configuration_retries = StartRetries::within(CONFIGURATION_RETRY_LIMIT);
+    let configuration_retries = StartupRetries::within(CONFIGURATION_RETRY_LIMIT);
     let config = configuration_retries.run("configuration", Config::from_environment).await?;
     let mut process = SenderProcess::start(config, signals, retries).await?;
     if let Some(ownership) = process.acquire_ownership().await? {
@@ -64,13 +64,13 @@
     /// The address of discovery, which changes when the configuration file is read again.
     discovery: watch::Receiver<SocketAddr>,
     serving_state: Rc<ServingStateControl>,
-    /// Whether this process can accept messages.
+    /// Whether this process is the sender and can accept messages.
     ready: Rc<Cell<bool>>,
     metrics: Rc<Metrics>,
     invariants: Rc<InvariantMonitor>,
     delivery: Rc<DeliveryClient>,
     limiter: Rc<ConnectionLimiter>,
-    clients: Rc<ClientApi>,
+    client_api: Rc<ClientApi>,
     event_sender: mpsc::Sender<SenderEvent>,
     events: mpsc::Receiver<SenderEvent>,
     commands: mpsc::Receiver<OperatorRequest>,
@@ -95,7 +95,7 @@
         let mut ownership = ownership;
         let mut missed_events = Vec::new();
         loop {
-            let retries = StartRetries::begin();
+            let retries = StartupRetries::begin();
             let listener = self.bind_client_listener(ownership.listener.take(), retries).await?;
             let served = self.serve(ownership, &listener, std::mem::take(&mut missed_events)).await?;
             let Some(predecessor) = served else { return Ok(()) };
@@ -124,7 +124,7 @@
     async fn bind_client_listener(
         &self,
         inherited: Option<net::TcpListener>,
-        retries: StartRetries,
+        retries: StartupRetries,
     ) -> Result<Rc<net::TcpListener>, ProcessError> {
         if let Some(listener) = inherited {
             return Ok(Rc::new(listener));
@@ -145,9 +145,9 @@
         missed_events: Vec<SenderEvent>,
     ) -> Result<Option<Predecessor>, ProcessError> {
         let notices = Rc::new(NoticeQueue::default());
-        let retries = StartRetries::begin();
+        let retries = StartupRetries::begin();
         let mut event_loop = self.new_event_loop(ownership.lock, notices.clone(), retries).await?;
-        // Precedes the first connection that is accepted: a process that answers counts as ready.
+        // Done before the first connection is accepted, because a process that answers counts as ready.
         match ownership.inherited {
             Some(inherited) => self.continue_from_predecessor(&mut event_loop, inherited)?,
             None => event_loop.recover(self.config.known.clone()),
@@ -183,8 +183,8 @@
         inherited: InheritedState,
     ) -> Result<(), ProcessError> {
         let InheritedState { state, stream } = inherited;
-        let remote_calls = event_loop.restore(*state, self.config.seed)?;
-        relay::relay_predecessor(stream, remote_calls, self.event_sender.clone(), self.limiter.clone());
+        let remote_attempts = event_loop.restore(*state, self.config.seed)?;
+        relay::relay_predecessor(stream, remote_attempts, self.event_sender.clone(), self.limiter.clone());
         Ok(())
     }
 
@@ -192,7 +192,7 @@
         &self,
         lock: OwnershipLock,
         notices: Rc<NoticeQueue>,
-        retries: StartRetries,
+        retries: StartupRetries,
     ) -> Result<EventLoop, ProcessError> {
         let config = &self.config;
         let controller = Controller::new(config.settings.clone(), config.seed)?;
@@ -236,7 +236,7 @@
             self.config.known.as_ref().map(|list| list.version),
         ));
         tasks.spawn_local(notices.send(self.discovery.clone(), self.event_sender.clone()));
-        tasks.spawn_local(self.clients.clone().serve(accepting));
+        tasks.spawn_local(self.client_api.clone().serve(accepting));
         tasks
     }
 
