--- a/crates/fault-soak/build.rs
+++ b/crates/fault-soak/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the library that makes system calls of the senders fail.
+//! Compiles the `LD_PRELOAD` library that makes system calls of the senders fail.
 
 use std::env;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 
 fn main() {
     println!("cargo:rerun-if-changed={SOURCE}");
-    let folder = env::var_os("OUT_DIR").expect("cargo sets OUT_DIR");
+    let folder = env::var_os("OUT_DIR").expect("OUT_DIR is set by cargo");
     let library = PathBuf::from(folder).join("libfault_shim.so");
     let compiler = env::var("CC").unwrap_or_else(|_| "cc".to_owned());
     let status = Command::new(&compiler)
--- a/crates/fault-soak/shim/fault_shim.c
+++ b/crates/fault-soak/shim/fault_shim.c
@@ -1,6 +1,6 @@
-/* A library for LD_PRELOAD that makes chosen system calls of one process fail, or do part of their work, and
- * that shifts its wall clock. What fails, how often and how is read from a file that the harness rewrites
- * while the process runs; its layout stands twice, here and in `src/shim.rs`. */
+/* A library for LD_PRELOAD that makes selected system calls of a process fail, or do a part of their work,
+ * and that shifts its wall clock. Which calls fail, how often and how is read from a control file, which the
+ * harness changes while the process runs. The layout of the file is defined here and in `src/shim.rs`. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -19,17 +19,19 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The calls, in the order of `Call` in `src/shim.rs`. */
-enum call { WRITE_FILE, TRUNCATE, RENAME, OPEN_FILE, UNLINK, READ_FILE, LOCK, ACCEPT, SOCKET, CONNECT, RECEIVE, SEND,
-            EPOLL_WAIT, CALLS };
+/* Kinds of system calls, in the order of `Syscall` in `src/shim.rs`. */
+enum syscall { WRITE_FILE, TRUNCATE, RENAME, OPEN_FILE, UNLINK, READ_FILE, LOCK, ACCEPT, SOCKET, CONNECT, RECEIVE, SEND,
+               EPOLL_WAIT, SYSCALL_COUNT };
 
-/* How a call that is chosen to fail does so, as bits of `modes`; one of those that are set is drawn. */
-enum mode { FAILS = 1, PARTLY_DONE = 2, DONE_BUT_FAILED = 4, LIES = 8 };
+/* How a call fails, as bits of `modes`; for each failing call, one of the bits that are set is drawn. */
+enum failure { NOT_DONE = 1, PARTIAL = 2, FALSE_FAILURE = 4, FALSE_SUCCESS = 8 };
 
+/* Maximum number of error numbers in a rule. */
 #define MAX_ERRNOS 4
+/* Rate at which every call fails. */
 #define RATE_SCALE 10000
 
-struct rule {
+struct failure_rule {
     uint32_t rate;
     uint32_t modes;
     uint32_t errnos[MAX_ERRNOS];
@@ -39,23 +41,24 @@
 
 struct control {
     int64_t wall_offset_us;
-    struct rule rules[CALLS];
+    struct failure_rule rules[SYSCALL_COUNT];
 };
 
 static struct control *control;
 static const char *state_folder;
 static uint64_t random_state;
-/* The next write to this file fails: its predecessor was cut short. */
-static int failing_descriptor = -1;
+/* The next write to this descriptor fails, because the last one was partial; -1 for none. */
+static int partially_written_descriptor = -1;
 
-static uint32_t draw(uint32_t bound) {
+/* Returns a random number below `bound`; 0 if that is 0. */
+static uint32_t draw_below(uint32_t bound) {
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
     random_state ^= random_state << 17;
     return bound ? (uint32_t)(random_state >> 16) % bound : 0;
 }
 
-__attribute__((constructor)) static void start(void) {
+__attribute__((constructor)) static void initialize(void) {
     const char *path = getenv("FAULT_SHIM_CONTROL");
     const char *seed = getenv("FAULT_SHIM_SEED");
     state_folder = getenv("ROUTER_STATE");
@@ -68,22 +71,23 @@
     if (mapped != MAP_FAILED) control = mapped;
 }
 
-/* The mode in which this call fails now; 0 if it does not. */
-static uint32_t chosen_mode(enum call call) {
+/* Draws whether this call fails, and how; returns 0 if it does not. */
+static uint32_t draw_failure(enum syscall call) {
     if (!control) return 0;
-    struct rule *rule = &control->rules[call];
+    struct failure_rule *rule = &control->rules[call];
     uint32_t modes = rule->modes;
-    if (!rule->rate || !modes || draw(RATE_SCALE) >= rule->rate) return 0;
+    if (!rule->rate || !modes || draw_below(RATE_SCALE) >= rule->rate) return 0;
     rule->injected++;
     uint32_t mode;
-    do mode = 1u << draw(4); while (!(modes & mode));
+    do mode = 1u << draw_below(4); while (!(modes & mode));
     return mode;
 }
 
-static int fail(enum call call) {
+/* Sets errno to one of the error numbers of the rule and returns -1. */
+static int fail(enum syscall call) {
     uint32_t errnos = 0;
     while (errnos < MAX_ERRNOS && control->rules[call].errnos[errnos]) errnos++;
-    errno = errnos ? (int)control->rules[call].errnos[draw(errnos)] : EIO;
+    errno = errnos ? (int)control->rules[call].errnos[draw_below(errnos)] : EIO;
     return -1;
 }
 
@@ -101,22 +105,22 @@
     return path && state_folder && !strncmp(path, state_folder, strlen(state_folder));
 }
 
-/* Files. */
+/* Files, and reads and writes of sockets. */
 
 static ssize_t write_file(int descriptor, const void *bytes, size_t length) {
     static ssize_t (*next)(int, const void *, size_t);
     if (!next) next = NEXT(write);
-    if (failing_descriptor == descriptor) {
-        failing_descriptor = -1;
+    if (partially_written_descriptor == descriptor) {
+        partially_written_descriptor = -1;
         return fail(WRITE_FILE);
     }
-    switch (chosen_mode(WRITE_FILE)) {
-    case FAILS: return fail(WRITE_FILE);
-    case PARTLY_DONE:
-        failing_descriptor = descriptor;
-        return next(descriptor, bytes, length > 1 ? 1 + draw((uint32_t)length - 1) : length);
-    case DONE_BUT_FAILED: next(descriptor, bytes, length); return fail(WRITE_FILE);
-    case LIES: return (ssize_t)length;
+    switch (draw_failure(WRITE_FILE)) {
+    case NOT_DONE: return fail(WRITE_FILE);
+    case PARTIAL:
+        partially_written_descriptor = descriptor;
+        return next(descriptor, bytes, length > 1 ? 1 + draw_below((uint32_t)length - 1) : length);
+    case FALSE_FAILURE: next(descriptor, bytes, length); return fail(WRITE_FILE);
+    case FALSE_SUCCESS: return (ssize_t)length;
     default: return next(descriptor, bytes, length);
     }
 }
@@ -124,9 +128,9 @@
 static ssize_t send_bytes(int descriptor, const void *bytes, size_t length, int flags) {
     static ssize_t (*next)(int, const void *, size_t, int);
     if (!next) next = NEXT(send);
-    switch (chosen_mode(SEND)) {
-    case FAILS: return fail(SEND);
-    case PARTLY_DONE: return next(descriptor, bytes, length > 1 ? 1 + draw((uint32_t)length - 1) : length, flags);
+    switch (draw_failure(SEND)) {
+    case NOT_DONE: return fail(SEND);
+    case PARTIAL: return next(descriptor, bytes, length > 1 ? 1 + draw_below((uint32_t)length - 1) : length, flags);
     default: return next(descriptor, bytes, length, flags);
     }
 }
@@ -134,7 +138,7 @@
 ssize_t write(int descriptor, const void *bytes, size_t length) {
     static ssize_t (*next)(int, const void *, size_t);
     if (!next) next = NEXT(write);
-    /* The log is spared. */
+    /* Writes to stderr never fail, as it is the log. */
     mode_t type = control && descriptor > STDERR_FILENO ? descriptor_type(descriptor) : 0;
     if (type == S_IFREG) return write_file(descriptor, bytes, length);
     if (type == S_IFSOCK) return send_bytes(descriptor, bytes, length, MSG_NOSIGNAL);
@@ -145,24 +149,24 @@
     return send_bytes(descriptor, bytes, length, flags);
 }
 
-ssize_t writev(int descriptor, const struct iovec *slices, int count) {
+ssize_t writev(int descriptor, const struct iovec *vectors, int count) {
     static ssize_t (*next)(int, const struct iovec *, int);
     if (!next) next = NEXT(writev);
     if (descriptor_type(descriptor) == S_IFSOCK) {
-        switch (chosen_mode(SEND)) {
-        case FAILS: return fail(SEND);
-        case PARTLY_DONE: return next(descriptor, slices, 1);
+        switch (draw_failure(SEND)) {
+        case NOT_DONE: return fail(SEND);
+        case PARTIAL: return next(descriptor, vectors, 1);
         }
     }
-    return next(descriptor, slices, count);
+    return next(descriptor, vectors, count);
 }
 
 static ssize_t receive_bytes(int descriptor, void *bytes, size_t length, int flags) {
     static ssize_t (*next)(int, void *, size_t, int);
     if (!next) next = NEXT(recv);
-    switch (flags & MSG_PEEK ? 0 : chosen_mode(RECEIVE)) {
-    case FAILS: return fail(RECEIVE);
-    case PARTLY_DONE: return next(descriptor, bytes, length > 1 ? 1 + draw(length < 64 ? (uint32_t)length : 64) : length, flags);
+    switch (flags & MSG_PEEK ? 0 : draw_failure(RECEIVE)) {
+    case NOT_DONE: return fail(RECEIVE);
+    case PARTIAL: return next(descriptor, bytes, length > 1 ? 1 + draw_below(length < 64 ? (uint32_t)length : 64) : length, flags);
     default: return next(descriptor, bytes, length, flags);
     }
 }
@@ -174,13 +178,13 @@
 ssize_t recvmsg(int descriptor, struct msghdr *message, int flags) {
     static ssize_t (*next)(int, struct msghdr *, int);
     if (!next) next = NEXT(recvmsg);
-    return chosen_mode(RECEIVE) == FAILS ? fail(RECEIVE) : next(descriptor, message, flags);
+    return draw_failure(RECEIVE) == NOT_DONE ? fail(RECEIVE) : next(descriptor, message, flags);
 }
 
 ssize_t sendmsg(int descriptor, const struct msghdr *message, int flags) {
     static ssize_t (*next)(int, const struct msghdr *, int);
     if (!next) next = NEXT(sendmsg);
-    return chosen_mode(SEND) == FAILS ? fail(SEND) : next(descriptor, message, flags);
+    return draw_failure(SEND) == NOT_DONE ? fail(SEND) : next(descriptor, message, flags);
 }
 
 ssize_t read(int descriptor, void *bytes, size_t length) {
@@ -189,9 +193,9 @@
     mode_t type = control ? descriptor_type(descriptor) : 0;
     if (type == S_IFSOCK) return receive_bytes(descriptor, bytes, length, 0);
     if (type == S_IFREG) {
-        switch (chosen_mode(READ_FILE)) {
-        case FAILS: return fail(READ_FILE);
-        case PARTLY_DONE: return next(descriptor, bytes, length > 1 ? 1 + draw((uint32_t)length - 1) : length);
+        switch (draw_failure(READ_FILE)) {
+        case NOT_DONE: return fail(READ_FILE);
+        case PARTIAL: return next(descriptor, bytes, length > 1 ? 1 + draw_below((uint32_t)length - 1) : length);
         }
     }
     return next(descriptor, bytes, length);
@@ -200,7 +204,7 @@
 static int open_checked(const char *path, int flags, mode_t mode) {
     static int (*next)(const char *, int, ...);
     if (!next) next = (int (*)(const char *, int, ...))dlsym(RTLD_NEXT, "open64");
-    if (is_state_path(path) && chosen_mode(OPEN_FILE)) return fail(OPEN_FILE);
+    if (is_state_path(path) && draw_failure(OPEN_FILE)) return fail(OPEN_FILE);
     return next(path, flags, mode);
 }
 
@@ -227,15 +231,15 @@
 int ftruncate64(int descriptor, off64_t length) {
     static int (*next)(int, off64_t);
     if (!next) next = NEXT(ftruncate64);
-    return chosen_mode(TRUNCATE) ? fail(TRUNCATE) : next(descriptor, length);
+    return draw_failure(TRUNCATE) ? fail(TRUNCATE) : next(descriptor, length);
 }
 
 int rename(const char *from, const char *to) {
     static int (*next)(const char *, const char *);
     if (!next) next = NEXT(rename);
-    switch (chosen_mode(RENAME)) {
+    switch (draw_failure(RENAME)) {
     case 0: return next(from, to);
-    case DONE_BUT_FAILED: next(from, to); return fail(RENAME);
+    case FALSE_FAILURE: next(from, to); return fail(RENAME);
     default: return fail(RENAME);
     }
 }
@@ -243,54 +247,54 @@
 int unlink(const char *path) {
     static int (*next)(const char *);
     if (!next) next = NEXT(unlink);
-    return is_state_path(path) && chosen_mode(UNLINK) ? fail(UNLINK) : next(path);
+    return is_state_path(path) && draw_failure(UNLINK) ? fail(UNLINK) : next(path);
 }
 
 int flock(int descriptor, int operation) {
     static int (*next)(int, int);
     if (!next) next = NEXT(flock);
-    return chosen_mode(LOCK) ? fail(LOCK) : next(descriptor, operation);
+    return draw_failure(LOCK) ? fail(LOCK) : next(descriptor, operation);
 }
 
-/* Sockets. */
+/* Sockets and epoll. */
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags) {
     static int (*next)(int, struct sockaddr *, socklen_t *, int);
     if (!next) next = NEXT(accept4);
-    return chosen_mode(ACCEPT) ? fail(ACCEPT) : next(descriptor, address, length, flags);
+    return draw_failure(ACCEPT) ? fail(ACCEPT) : next(descriptor, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     static int (*next)(int, int, int);
     if (!next) next = NEXT(socket);
-    return chosen_mode(SOCKET) ? fail(SOCKET) : next(domain, type, protocol);
+    return draw_failure(SOCKET) ? fail(SOCKET) : next(domain, type, protocol);
 }
 
 int socketpair(int domain, int type, int protocol, int descriptors[2]) {
     static int (*next)(int, int, int, int *);
     if (!next) next = (int (*)(int, int, int, int *))dlsym(RTLD_NEXT, "socketpair");
-    return chosen_mode(SOCKET) ? fail(SOCKET) : next(domain, type, protocol, descriptors);
+    return draw_failure(SOCKET) ? fail(SOCKET) : next(domain, type, protocol, descriptors);
 }
 
 int epoll_create1(int flags) {
     static int (*next)(int);
     if (!next) next = NEXT(epoll_create1);
-    return chosen_mode(SOCKET) ? fail(SOCKET) : next(flags);
+    return draw_failure(SOCKET) ? fail(SOCKET) : next(flags);
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length) {
     static int (*next)(int, const struct sockaddr *, socklen_t);
     if (!next) next = NEXT(connect);
-    return chosen_mode(CONNECT) ? fail(CONNECT) : next(descriptor, address, length);
+    return draw_failure(CONNECT) ? fail(CONNECT) : next(descriptor, address, length);
 }
 
 int epoll_wait(int descriptor, struct epoll_event *events, int count, int timeout) {
     static int (*next)(int, struct epoll_event *, int, int);
     if (!next) next = NEXT(epoll_wait);
-    return chosen_mode(EPOLL_WAIT) ? fail(EPOLL_WAIT) : next(descriptor, events, count, timeout);
+    return draw_failure(EPOLL_WAIT) ? fail(EPOLL_WAIT) : next(descriptor, events, count, timeout);
 }
 
-/* Clocks: the wall clock may be stepped, the monotonic one never is. */
+/* Clocks: the wall clock is shifted, the monotonic clock is not. */
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
     static int (*next)(clockid_t, struct timespec *);
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients that submit messages and hold the sender to its answers, and peers that are no clients.
+//! Clients that submit messages and record the results, and peers that send incomplete or invalid requests.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,64 +10,65 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::history::{Answer, History, Message};
+use crate::history::{History, Message, SubmitResult};
 use crate::http::read_message;
 use crate::settings::{Class, DESTINATIONS};
 
-/// A client waits so long for its answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
-/// A peer that is no client is owed an error or a close by then.
-pub const PEER_LIMIT: Duration = Duration::from_secs(3);
-/// How late a close may be noticed here.
-const PEER_SLACK: Duration = Duration::from_millis(300);
+/// Time limit of a client for a connection, and for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time within which a sender must answer an incomplete or invalid request or close its connection.
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay with which a close may be noticed by the peer.
+const PEER_TOLERANCE: Duration = Duration::from_millis(300);
+/// Size of large invalid requests, in bytes.
 const GARBAGE_BYTES: usize = 200_000;
-/// After so long a message has most likely ended, so that its id can be used again.
-const REPLAY_AGE: Duration = Duration::from_millis(1_500);
+/// Time after which a message has most likely ended, so that it can be submitted again under the same id.
+const REPLAY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// What clients do beside submitting, at the moment.
+/// Switches for clients and other peers, which faults set while the load runs.
 #[derive(Debug, Default)]
-pub struct Habits {
-    /// Some leave without their answer.
-    pub leave: AtomicBool,
-    /// Some submit a message again after its end.
+pub struct LoadControl {
+    /// Some clients disconnect without waiting for the response.
+    pub abandon: AtomicBool,
+    /// Some messages are submitted again under the same id.
     pub replay: AtomicBool,
-    /// Peers stop half-way in a request.
+    /// Peers send incomplete requests.
     pub stall: AtomicBool,
-    /// Peers send what is no request.
+    /// Peers send invalid requests.
     pub garbage: AtomicBool,
-    /// All stop.
+    /// All clients and peers stop.
     pub stop: AtomicBool,
 }
 
-impl Habits {
-    fn are_over(&self) -> bool {
+impl LoadControl {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 }
 
-/// A client with one connection.
+/// A client that uses one connection at a time.
 pub struct Client {
     sender: usize,
     number: usize,
     address: SocketAddr,
-    habits: Arc<Habits>,
+    load_control: Arc<LoadControl>,
     history: Arc<History>,
     connection: Option<BufReader<TcpStream>>,
     submitted: u64,
     ordered: u64,
-    /// A message of the class that is never repeated, and when it was submitted.
+    /// An accepted message of class `Once`: its call id, the request, and the time of its acceptance.
     replayable: Option<(String, String, Instant)>,
     random: fastrand::Rng,
 }
 
 impl Client {
-    /// A client of this sender.
+    /// Creates a client of this sender.
     #[must_use]
     pub fn new(
         sender: usize,
         number: usize,
         address: SocketAddr,
-        habits: Arc<Habits>,
+        load_control: Arc<LoadControl>,
         history: Arc<History>,
         seed: u64,
     ) -> Self {
@@ -75,7 +76,7 @@
             sender,
             number,
             address,
-            habits,
+            load_control,
             history,
             connection: None,
             submitted: 0,
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Submits messages until told to stop.
+    /// Submits messages until the load stops.
     pub async fn run(mut self) {
-        while !self.habits.are_over() {
+        while !self.load_control.is_stopped() {
             self.submit_next().await;
             self.replay().await;
             sleep(Duration::from_millis(self.random.u64(20..90))).await;
@@ -112,15 +113,15 @@
             order,
             submitted_at: Instant::now(),
             budget,
-            answer: None,
+            result: None,
             is_replayed: false,
         };
         self.history.records().messages.insert(id.clone(), message);
-        let answer = self.submit(&text).await;
+        let result = self.submit(&text).await;
         if let Some(message) = self.history.records().messages.get_mut(&id) {
-            message.answer = Some((answer, Instant::now()));
+            message.result = Some((result, Instant::now()));
         }
-        if class == Class::Once && answer == Answer::Accepted && self.replayable.is_none() {
+        if class == Class::Once && result == SubmitResult::Accepted && self.replayable.is_none() {
             self.replayable = Some((id, text, Instant::now()));
         }
     }
@@ -145,22 +146,22 @@
         )
     }
 
-    /// Submits on the kept connection or on a new one. A kept connection that was closed before the sender
-    /// read the request is replaced, and the request sent once more.
-    async fn submit(&mut self, text: &str) -> Answer {
-        let leaves = self.habits.leave.load(Ordering::Relaxed) && self.random.f64() < 0.15;
+    /// Submits on the kept connection or on a new one. If the kept connection ends without a response, the
+    /// request is sent once more on a new one.
+    async fn submit(&mut self, text: &str) -> SubmitResult {
+        let abandons = self.load_control.abandon.load(Ordering::Relaxed) && self.random.f64() < 0.15;
         if let Some(connection) = self.connection.take() {
-            match self.exchange(connection, text, leaves, false).await {
-                Answer::Closed { .. } => {}
-                answer => return answer,
+            match self.exchange(connection, text, abandons, false).await {
+                SubmitResult::Closed { .. } => {}
+                result => return result,
             }
         }
-        match timeout(ANSWER_LIMIT, TcpStream::connect(self.address)).await {
+        match timeout(RESPONSE_TIMEOUT, TcpStream::connect(self.address)).await {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
-                self.exchange(BufReader::new(stream), text, leaves, true).await
+                self.exchange(BufReader::new(stream), text, abandons, true).await
             }
-            _ => Answer::NotConnected,
+            _ => SubmitResult::NotConnected,
         }
     }
 
@@ -168,39 +169,39 @@
         &mut self,
         mut connection: BufReader<TcpStream>,
         text: &str,
-        leaves: bool,
+        abandons: bool,
         is_fresh: bool,
-    ) -> Answer {
+    ) -> SubmitResult {
         if connection.get_mut().write_all(text.as_bytes()).await.is_err() {
-            return Answer::Closed { is_fresh };
+            return SubmitResult::Closed { is_fresh };
         }
-        if leaves {
+        if abandons {
             sleep(Duration::from_millis(self.random.u64(0..4))).await;
-            return Answer::Abandoned;
+            return SubmitResult::Abandoned;
         }
-        match timeout(ANSWER_LIMIT, read_message(&mut connection)).await {
-            Err(_) => Answer::Abandoned,
-            Ok(Ok(Some(answer))) => {
-                if answer.header("connection") != "close" {
+        match timeout(RESPONSE_TIMEOUT, read_message(&mut connection)).await {
+            Err(_) => SubmitResult::Abandoned,
+            Ok(Ok(Some(response))) => {
+                if response.header("connection") != "close" {
                     self.connection = Some(connection);
                 }
-                match answer.status() {
-                    200 | 202 => Answer::Accepted,
-                    429 | 503 => Answer::Refused,
-                    status => Answer::Failed(status),
+                match response.status() {
+                    200 | 202 => SubmitResult::Accepted,
+                    429 | 503 => SubmitResult::Refused,
+                    status => SubmitResult::Failed(status),
                 }
             }
-            Ok(_) => Answer::Closed { is_fresh },
+            Ok(_) => SubmitResult::Closed { is_fresh },
         }
     }
 
     async fn replay(&mut self) {
-        let is_due = self.replayable.as_ref().is_some_and(|(_, _, at)| at.elapsed() > REPLAY_AGE);
+        let is_due = self.replayable.as_ref().is_some_and(|(_, _, at)| at.elapsed() > REPLAY_DELAY);
         if !is_due {
             return;
         }
         let Some((id, text, _)) = self.replayable.take() else { return };
-        if !self.habits.replay.load(Ordering::Relaxed) {
+        if !self.load_control.replay.load(Ordering::Relaxed) {
             return;
         }
         if let Some(message) = self.history.records().messages.get_mut(&id) {
@@ -210,37 +211,37 @@
     }
 }
 
-/// Connects to a sender as peers do that are no clients, until told to stop.
+/// Connects to a sender with incomplete or invalid requests, if those are switched on, until the load stops.
 pub async fn run_peers(
     sender: usize,
     address: SocketAddr,
-    habits: Arc<Habits>,
+    load_control: Arc<LoadControl>,
     history: Arc<History>,
     seed: u64,
 ) {
     let mut random = fastrand::Rng::with_seed(seed);
-    while !habits.are_over() {
+    while !load_control.is_stopped() {
         sleep(Duration::from_millis(random.u64(50..250))).await;
-        let text = if habits.stall.load(Ordering::Relaxed) {
+        let text = if load_control.stall.load(Ordering::Relaxed) {
             stalled_request(&mut random)
-        } else if habits.garbage.load(Ordering::Relaxed) {
+        } else if load_control.garbage.load(Ordering::Relaxed) {
             garbage(&mut random)
         } else {
             continue;
         };
-        tokio::spawn(play_peer(sender, address, text, history.clone()));
+        tokio::spawn(run_peer(sender, address, text, history.clone()));
     }
 }
 
-async fn play_peer(sender: usize, address: SocketAddr, text: Vec<u8>, history: Arc<History>) {
+async fn run_peer(sender: usize, address: SocketAddr, text: Vec<u8>, history: Arc<History>) {
     let started = Instant::now();
-    let Ok(Ok(mut stream)) = timeout(ANSWER_LIMIT, TcpStream::connect(address)).await else { return };
-    let limit = PEER_LIMIT + PEER_SLACK;
+    let Ok(Ok(mut stream)) = timeout(RESPONSE_TIMEOUT, TcpStream::connect(address)).await else { return };
+    let limit = PEER_TIMEOUT + PEER_TOLERANCE;
     let is_answered = timeout(limit, send_and_wait(&mut stream, &text)).await.is_ok();
     history.records().peers.push((sender, started, is_answered));
 }
 
-/// Sends the text and waits for an answer or the connection's end.
+/// Sends the text and waits for a response or the end of the connection.
 async fn send_and_wait(stream: &mut TcpStream, text: &[u8]) -> io::Result<usize> {
     stream.write_all(text).await?;
     stream.read(&mut [0; 64]).await
--- a/crates/fault-soak/src/discovery.rs
+++ b/crates/fault-soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: one state, and a listener for each sender, so that what a sender was told is known.
+//! A simulated discovery service with one list, and listeners for each sender, so that it is known which
+//! status was sent to which sender.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -12,38 +13,38 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::endpoint::Endpoint;
-use crate::history::{History, NoticeResult, Told};
+use crate::history::{History, NoticeResult, StatusUpdate};
 use crate::http::{read_message, HttpMessage};
 
-/// Longest wait of a watch.
+/// Longest time for which a request for the list waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How long a silent discovery keeps a connection.
+/// Delay of a response while the service is silent.
 const SILENCE: Duration = Duration::from_secs(30);
 
-/// Whether the list can be had. Notices are always taken, at once.
+/// Whether requests for the list are answered. Notices are always acknowledged at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Service {
-    /// It can.
+pub enum ServiceState {
+    /// Requests are answered.
     Up,
-    /// Each call for it ends with 503.
+    /// Each request gets status 503.
     Down,
-    /// No call for it is answered.
+    /// Each request is answered 30 s late.
     Silent,
 }
 
-impl Service {
+impl ServiceState {
     const ALL: [Self; 3] = [Self::Up, Self::Down, Self::Silent];
 }
 
-/// What an endpoint is listed as.
+/// Status of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It takes calls.
+    /// The endpoint takes calls.
     Up,
-    /// It completes what it holds.
+    /// The endpoint completes the calls that it has received.
     Draining,
-    /// It is gone.
+    /// The endpoint is gone.
     Removed,
 }
 
@@ -57,44 +58,45 @@
     }
 }
 
+/// The list of endpoints.
 #[derive(Clone)]
 struct List {
     version: u64,
-    /// The version at which each endpoint changed last, and its status.
+    /// For each endpoint, the version of its last change, and its status.
     endpoints: Vec<(u64, Status)>,
 }
 
-/// The discovery service.
+/// The simulated discovery service.
 pub struct Discovery {
     endpoints: Vec<Arc<Endpoint>>,
     list: watch::Sender<List>,
-    service: AtomicU8,
+    service_state: AtomicU8,
     history: Arc<History>,
-    /// A planted mistake: notices are acknowledged and forgotten.
-    pub swallows_notices: bool,
+    /// A planted defect: notices are acknowledged, but not recorded.
+    pub drops_notices: bool,
     addresses: Mutex<Vec<SocketAddr>>,
 }
 
 impl Discovery {
-    /// A service that lists all these endpoints as up.
+    /// Creates a service that lists all these endpoints as up.
     #[must_use]
-    pub fn new(endpoints: Vec<Arc<Endpoint>>, history: Arc<History>, swallows_notices: bool) -> Arc<Self> {
+    pub fn new(endpoints: Vec<Arc<Endpoint>>, history: Arc<History>, drops_notices: bool) -> Arc<Self> {
         let list = List { version: 1, endpoints: vec![(1, Status::Up); endpoints.len()] };
         Arc::new(Self {
             endpoints,
             list: watch::Sender::new(list),
-            service: AtomicU8::new(Service::Up as u8),
+            service_state: AtomicU8::new(ServiceState::Up as u8),
             history,
-            swallows_notices,
+            drops_notices,
             addresses: Mutex::default(),
         })
     }
 
-    /// Opens one more address for a sender.
+    /// Opens one more address for a sender and returns it.
     ///
     /// # Errors
     ///
-    /// No address is free.
+    /// The listener cannot be opened.
     pub async fn listen(self: &Arc<Self>, sender: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -110,7 +112,7 @@
         Ok(address)
     }
 
-    /// Lists an endpoint with this status from now on.
+    /// Changes the status of an endpoint in the list.
     pub fn list(&self, endpoint: usize, status: Status) {
         self.list.send_modify(|list| {
             list.version += 1;
@@ -118,7 +120,7 @@
         });
     }
 
-    /// Counts versions anew, from 1.
+    /// Restarts the version numbers at 1.
     pub fn reset_versions(&self) {
         self.list.send_modify(|list| {
             list.version = 1;
@@ -128,12 +130,12 @@
         });
     }
 
-    /// Whether the list can be had from now on.
-    pub fn set_service(&self, service: Service) {
-        self.service.store(service as u8, Ordering::Relaxed);
+    /// Sets whether requests for the list are answered from now on.
+    pub fn set_service_state(&self, service_state: ServiceState) {
+        self.service_state.store(service_state as u8, Ordering::Relaxed);
     }
 
-    /// The complete list, in the wire's form.
+    /// Returns the complete list in its wire format.
     #[must_use]
     pub fn entries(&self) -> Vec<Value> {
         let list = self.list.borrow();
@@ -151,12 +153,12 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_message(&mut stream).await {
-            let answer = if request.start_line.starts_with("POST") {
+            let response = if request.start_line.starts_with("POST") {
                 self.take_notices(&request)
             } else {
-                self.answer_list(sender, &request).await
+                self.list_response(sender, &request).await
             };
-            if stream.get_mut().write_all(answer.as_bytes()).await.is_err() {
+            if stream.get_mut().write_all(response.as_bytes()).await.is_err() {
                 return;
             }
         }
@@ -171,18 +173,18 @@
             let result =
                 if notice["result"] == "dead" { NoticeResult::Failed } else { NoticeResult::Rejected };
             let call_id = notice["ref"].as_str().unwrap_or_default().to_owned();
-            if !self.swallows_notices {
+            if !self.drops_notices {
                 self.history.records().notices.entry(call_id).or_default().push((result, now));
             }
         }
         "HTTP/1.1 204 No Content\r\n\r\n".to_owned()
     }
 
-    async fn answer_list(&self, sender: usize, request: &HttpMessage) -> String {
-        match Service::ALL[self.service.load(Ordering::Relaxed) as usize] {
-            Service::Up => {}
-            Service::Down => return "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Service::Silent => sleep(SILENCE).await,
+    async fn list_response(&self, sender: usize, request: &HttpMessage) -> String {
+        match ServiceState::ALL[self.service_state.load(Ordering::Relaxed) as usize] {
+            ServiceState::Up => {}
+            ServiceState::Down => return "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            ServiceState::Silent => sleep(SILENCE).await,
         }
         let after = parameter(&request.start_line, "after");
         let wait = parameter(&request.start_line, "wait_ms").map_or(Duration::ZERO, Duration::from_millis);
@@ -190,14 +192,14 @@
         let after = after.filter(|after| *after <= list.version);
         let changed = |index: &usize| after.is_none_or(|after| list.endpoints[*index].0 > after);
         let indices: Vec<usize> = (0..self.endpoints.len()).filter(changed).collect();
-        self.record_told(sender, &list, &indices);
+        self.record_status_updates(sender, &list, &indices);
         let entries: Vec<Value> = indices.iter().map(|index| self.entry(&list, *index)).collect();
         let body = json!({"index": list.version, "snapshot": after.is_none(), "endpoints": entries});
         let text = format!("{body:#}");
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len())
     }
 
-    /// The list, once it has another version, or the wait is over.
+    /// Returns the list once its version differs from `after`, or when the wait is over.
     async fn await_change(&self, after: Option<u64>, wait: Duration) -> List {
         let mut list = self.list.subscribe();
         let changed = list.wait_for(|list| Some(list.version) != after);
@@ -207,15 +209,15 @@
         self.list.borrow().clone()
     }
 
-    fn record_told(&self, sender: usize, list: &List, indices: &[usize]) {
+    fn record_status_updates(&self, sender: usize, list: &List, indices: &[usize]) {
         let at = Instant::now();
-        let told = indices.iter().map(|index| Told {
+        let updates = indices.iter().map(|index| StatusUpdate {
             sender,
             endpoint: *index,
             is_up: list.endpoints[*index].1 == Status::Up,
             at,
         });
-        self.history.records().told.extend(told);
+        self.history.records().status_updates.extend(updates);
     }
 }
 
--- a/crates/fault-soak/src/disturbance.rs
+++ b/crates/fault-soak/src/disturbance.rs
@@ -1,19 +1,20 @@
-//! When a sender could not do as the rules ask: its processes were ending, starting or paused.
+//! Periods in which a sender could not be expected to keep the rules, because its processes were ending,
+//! starting or paused.
 
 use tokio::time::Instant;
 
 use crate::history::{ProcessEvent, Records};
 
-/// From when to when; without an end, to the end of the run.
-pub type Disturbance = (Instant, Option<Instant>);
+/// Start and end of a disruption; without an end, it lasts until the end of the run.
+pub type Disruption = (Instant, Option<Instant>);
 
-/// The spans in which processes of a sender were ending, starting or paused. Its first start begins at
-/// `start`.
+/// Returns the periods in which processes of the sender were ending, starting or paused. Its first start
+/// begins at `start`.
 #[must_use]
-pub fn disturbances(records: &Records, sender: usize, start: Instant) -> Vec<Disturbance> {
+pub fn disruptions(records: &Records, sender: usize, start: Instant) -> Vec<Disruption> {
     let mut spans = Vec::new();
     let (mut restart, mut pause): (Option<Instant>, Option<Instant>) = (None, None);
-    for (_, event, at) in records.processes.iter().filter(|(index, ..)| *index == sender) {
+    for (_, event, at) in records.process_events.iter().filter(|(index, ..)| *index == sender) {
         match event {
             ProcessEvent::Ending | ProcessEvent::Upgrading => {
                 restart.get_or_insert(*at);
--- a/crates/fault-soak/src/endpoint.rs
+++ b/crates/fault-soak/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints: each answers calls as the faults that are on at the moment say.
+//! Simulated endpoints, whose responses depend on the faults that are active.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -12,28 +12,28 @@
 use crate::history::{EndpointCall, History, Reply};
 use crate::http::{read_message, HttpMessage};
 
-/// How long an endpoint keeps a connection that hangs.
+/// Time for which an endpoint that does not respond keeps the connection open.
 const HANG_TIME: Duration = Duration::from_secs(20);
-/// Pause between the bytes of an answer that trickles.
+/// Time between two bytes of a response that is sent one byte at a time.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(8);
 
-/// What an endpoint is like at the moment.
+/// Current behaviour of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behaviour {
-    /// It delivers within some milliseconds.
+    /// Each call is answered with success within 30 ms.
     Healthy,
-    /// A third of the calls ends with an error or a reset.
+    /// About a third of the calls ends with an error or a reset.
     Flaky,
-    /// Most calls are rejected, with a wait.
+    /// Most calls are rejected, the larger part of them with a retry delay.
     Limited,
-    /// Nothing is answered.
+    /// No call is answered.
     Hanging,
     /// Each connection is reset after the call.
     Resetting,
-    /// Answers come a byte at a time.
+    /// Responses are sent one byte at a time.
     Trickling,
-    /// Answers come late.
+    /// Responses are sent 0.1 s to 0.9 s late.
     Slow,
 }
 
@@ -49,35 +49,36 @@
     ];
 }
 
-/// An endpoint, which listens until the value and its tasks are dropped.
+/// A simulated endpoint, which listens until the value and its tasks are dropped.
 pub struct Endpoint {
-    /// Its number, which its name contains.
+    /// Index of the endpoint, which is part of its name.
     pub index: usize,
-    /// Where it belongs.
+    /// Number of the destination that it belongs to.
     pub destination: u64,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     behaviour: AtomicU8,
-    usual: Behaviour,
+    /// Behaviour without an active fault.
+    default_behaviour: Behaviour,
     history: Arc<History>,
 }
 
 impl Endpoint {
-    /// Starts an endpoint that behaves as usual.
+    /// Starts an endpoint with its default behaviour.
     ///
     /// # Errors
     ///
-    /// No address is free.
+    /// The listener cannot be opened.
     pub async fn start(
         index: usize,
         destination: u64,
-        usual: Behaviour,
+        default_behaviour: Behaviour,
         history: Arc<History>,
     ) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let behaviour = AtomicU8::new(usual as u8);
-        let endpoint = Arc::new(Self { index, destination, address, behaviour, usual, history });
+        let behaviour = AtomicU8::new(default_behaviour as u8);
+        let endpoint = Arc::new(Self { index, destination, address, behaviour, default_behaviour, history });
         tokio::spawn(endpoint.clone().accept(listener));
         Ok(endpoint)
     }
@@ -88,9 +89,9 @@
         format!("s-{}", self.index)
     }
 
-    /// Has it behave so from now on; the usual way without an argument.
+    /// Sets the behaviour from now on; `None` restores the default.
     pub fn set_behaviour(&self, behaviour: Option<Behaviour>) {
-        self.behaviour.store(behaviour.unwrap_or(self.usual) as u8, Ordering::Relaxed);
+        self.behaviour.store(behaviour.unwrap_or(self.default_behaviour) as u8, Ordering::Relaxed);
     }
 
     fn behaviour(&self) -> Behaviour {
@@ -110,7 +111,7 @@
         let mut stream = BufReader::new(stream);
         while let Ok(Some(call)) = read_message(&mut stream).await {
             let number = self.record_call(&call);
-            let ended = self.answer(number, &mut stream).await;
+            let ended = self.respond(number, &mut stream).await;
             if !ended {
                 return;
             }
@@ -136,18 +137,18 @@
         self.history.records().calls[number].reply = Some((reply, Instant::now()));
     }
 
-    /// Answers a call; false if its connection has ended.
-    async fn answer(&self, number: usize, stream: &mut BufReader<TcpStream>) -> bool {
+    /// Answers a call; false if its connection has ended or must be closed.
+    async fn respond(&self, number: usize, stream: &mut BufReader<TcpStream>) -> bool {
         let behaviour = self.behaviour();
         if behaviour == Behaviour::Hanging {
             self.wait_for_end(number, stream, HANG_TIME).await;
             return false;
         }
-        let work = match behaviour {
+        let service_time = match behaviour {
             Behaviour::Slow => Duration::from_millis(fastrand::u64(100..900)),
             _ => Duration::from_millis(fastrand::u64(2..30)),
         };
-        if self.wait_for_end(number, stream, work).await {
+        if self.wait_for_end(number, stream, service_time).await {
             return false;
         }
         match draw_reply(behaviour) {
@@ -167,8 +168,9 @@
         behaviour: Behaviour,
         stream: &mut BufReader<TcpStream>,
     ) -> bool {
-        let text = answer_text(reply);
-        // A sender that reads the answer may act on it before this task goes on.
+        let text = response_text(reply);
+        // Recorded before the response is written, as a sender may act on the response before this task
+        // continues.
         self.record_reply(number, reply);
         if behaviour != Behaviour::Trickling {
             return stream.get_mut().write_all(text.as_bytes()).await.is_ok();
@@ -182,7 +184,7 @@
         true
     }
 
-    /// Waits for the connection's end, for so long at most; whether it has come.
+    /// Waits for the end of the connection, up to the limit; returns whether it has ended.
     async fn wait_for_end(&self, number: usize, stream: &mut BufReader<TcpStream>, limit: Duration) -> bool {
         let has_ended = match timeout(limit, stream.fill_buf()).await {
             Ok(Ok(bytes)) => bytes.is_empty(),
@@ -210,7 +212,7 @@
     }
 }
 
-fn answer_text(reply: Reply) -> String {
+fn response_text(reply: Reply) -> String {
     match reply {
         Reply::Delivered => "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_owned(),
         Reply::Rejected { retry_after: Some(wait) } => format!(
--- a/crates/fault-soak/src/faults.rs
+++ b/crates/fault-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: switches each fault on and off at its time.
+//! Executes a plan: starts and ends each fault at its time.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,12 +7,12 @@
 
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::client::Habits;
-use crate::discovery::{Discovery, Service, Status};
+use crate::client::LoadControl;
+use crate::discovery::{Discovery, ServiceState, Status};
 use crate::endpoint::{Behaviour, Endpoint};
 use crate::plan::{Fault, FaultKind, Plan};
 use crate::sender::Sender;
-use crate::shim::{Call, Mode, Rule};
+use crate::shim::{Failure, FailureRule, Syscall};
 
 const EINTR: i32 = 4;
 const EIO: i32 = 5;
@@ -27,43 +27,45 @@
 const EHOSTUNREACH: i32 = 113;
 
 const HOUR_MICROS: i64 = 3_600_000_000;
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
-/// Calls that fail at a start do so at this rate at most: more would be no passing trouble.
+/// Longest time for which processes are suspended.
+const MAX_PAUSE: Duration = Duration::from_millis(2_500);
+/// Highest failure rate, of ten thousand, for system calls that a start needs: with a higher rate the failure
+/// would not be a transient one.
 const MAX_START_RATE: u32 = 2_000;
 
-/// All that faults act on.
+/// Everything that faults can affect.
 pub struct Targets {
-    /// The senders.
+    /// Senders under test.
     pub senders: Vec<Arc<Sender>>,
-    /// The endpoints.
+    /// Simulated endpoints.
     pub endpoints: Vec<Arc<Endpoint>>,
-    /// Discovery.
+    /// Simulated discovery service.
     pub discovery: Arc<Discovery>,
-    /// The clients' habits.
-    pub habits: Arc<Habits>,
+    /// Switches for clients and other peers.
+    pub load_control: Arc<LoadControl>,
 }
 
 impl Targets {
-    /// Plays all faults of a plan, counted from now, and returns when all are over.
-    pub async fn play(self: &Arc<Self>, plan: &Plan) {
+    /// Executes all faults of a plan, whose times count from now, and returns when all have ended.
+    pub async fn run(self: &Arc<Self>, plan: &Plan) {
         let start = Instant::now();
         let mut tasks = tokio::task::JoinSet::new();
         for fault in plan.faults.clone() {
             let targets = self.clone();
             tasks.spawn(async move {
-                sleep_until(start + fault.from).await;
-                targets.play_fault(&fault).await;
+                sleep_until(start + fault.start_offset).await;
+                targets.inject(&fault).await;
             });
         }
         tasks.join_all().await;
     }
 
-    async fn play_fault(&self, fault: &Fault) {
-        if fault.kind.is_of_process() {
-            return self.play_process_fault(fault).await;
+    async fn inject(&self, fault: &Fault) {
+        if fault.kind.is_process_event() {
+            return self.inject_process_fault(fault).await;
         }
         self.switch(fault, true);
-        sleep(fault.lasts).await;
+        sleep(fault.duration).await;
         self.switch(fault, false);
     }
 
@@ -74,21 +76,21 @@
         indices.into_iter().map(|index| self.senders[index].clone()).collect()
     }
 
-    async fn play_process_fault(&self, fault: &Fault) {
+    async fn inject_process_fault(&self, fault: &Fault) {
         let mut tasks = tokio::task::JoinSet::new();
         for sender in self.senders_of(fault) {
             let discovery = self.discovery.clone();
-            let Fault { kind, lasts, rate, .. } = fault.clone();
+            let Fault { kind, duration, rate, .. } = fault.clone();
             tasks.spawn(async move {
-                let moment = Duration::from_millis(u64::from(rate) / 10);
+                let delay = Duration::from_millis(u64::from(rate) / 10);
                 match kind {
                     FaultKind::Kill => sender.kill_and_start().await,
-                    FaultKind::KillTwice => sender.kill_twice_and_start(moment).await,
+                    FaultKind::KillTwice => sender.kill_twice_and_start(delay).await,
                     FaultKind::Terminate => sender.terminate_and_start().await,
                     FaultKind::Upgrade => sender.upgrade().await,
-                    FaultKind::UpgradeDies => sender.upgrade_dies(moment, false).await,
-                    FaultKind::UpgradeCrossed => sender.upgrade_dies(moment, true).await,
-                    FaultKind::Pause => sender.pause(lasts.min(LONGEST_PAUSE)).await,
+                    FaultKind::UpgradeDies => sender.upgrade_and_kill_successor(delay, false).await,
+                    FaultKind::UpgradeCrossed => sender.upgrade_and_kill_successor(delay, true).await,
+                    FaultKind::Pause => sender.pause(duration.min(MAX_PAUSE)).await,
                     _ => reload(&sender, &discovery, kind == FaultKind::TornReload).await,
                 }
             });
@@ -97,21 +99,23 @@
     }
 
     fn switch(&self, fault: &Fault, is_on: bool) {
-        if self.switch_surroundings(fault, is_on) {
+        if self.switch_environment(fault, is_on) {
             return;
         }
         for sender in self.senders_of(fault) {
-            if let Err(error) = switch_calls(&sender, fault, is_on) {
-                eprintln!("control file: {error}");
+            if let Err(error) = switch_syscalls(&sender, fault, is_on) {
+                eprintln!("cannot write the control file: {error}");
             }
         }
     }
 
-    /// Switches a fault of endpoints, discovery or clients; false if it is none.
-    fn switch_surroundings(&self, fault: &Fault, is_on: bool) -> bool {
+    /// Switches a fault of endpoints, discovery, clients or other peers; false if the fault is of another
+    /// kind.
+    fn switch_environment(&self, fault: &Fault, is_on: bool) -> bool {
         let behaviour = |behaviour| self.set_behaviour(fault, is_on.then_some(behaviour));
-        let habit = |habit: &AtomicBool| habit.store(is_on, Ordering::Relaxed);
-        let service = |service| self.discovery.set_service(if is_on { service } else { Service::Up });
+        let set_flag = |flag: &AtomicBool| flag.store(is_on, Ordering::Relaxed);
+        let service =
+            |service| self.discovery.set_service_state(if is_on { service } else { ServiceState::Up });
         match fault.kind {
             FaultKind::EndpointsFlaky => behaviour(Behaviour::Flaky),
             FaultKind::EndpointsHang => behaviour(Behaviour::Hanging),
@@ -119,14 +123,14 @@
             FaultKind::EndpointsSlow if fault.rate < 1_000 => behaviour(Behaviour::Trickling),
             FaultKind::EndpointsSlow => behaviour(Behaviour::Slow),
             FaultKind::EndpointsDrain => self.drain(fault, is_on),
-            FaultKind::DiscoveryDown => service(Service::Down),
-            FaultKind::DiscoverySilent => service(Service::Silent),
+            FaultKind::DiscoveryDown => service(ServiceState::Down),
+            FaultKind::DiscoverySilent => service(ServiceState::Silent),
             FaultKind::DiscoveryReset if is_on => self.discovery.reset_versions(),
             FaultKind::DiscoveryReset => {}
-            FaultKind::ClientsLeave => habit(&self.habits.leave),
-            FaultKind::PeersStall => habit(&self.habits.stall),
-            FaultKind::PeersGarbage => habit(&self.habits.garbage),
-            FaultKind::ClientsReplay => habit(&self.habits.replay),
+            FaultKind::ClientsLeave => set_flag(&self.load_control.abandon),
+            FaultKind::PeersStall => set_flag(&self.load_control.stall),
+            FaultKind::PeersGarbage => set_flag(&self.load_control.garbage),
+            FaultKind::ClientsReplay => set_flag(&self.load_control.replay),
             _ => return false,
         }
         true
@@ -143,7 +147,7 @@
         }
     }
 
-    /// Drains one endpoint or removes it, so that its destination keeps the other one.
+    /// Drains or removes only one endpoint, so that its destination keeps the other one.
     fn drain(&self, fault: &Fault, is_on: bool) {
         let endpoint = fault.targets[0] % self.endpoints.len();
         let status = match (is_on, fault.rate) {
@@ -159,18 +163,18 @@
     match discovery.listen(sender.index).await {
         Ok(address) if is_torn => sender.reload_torn(address).await,
         Ok(address) => sender.reload(address).await,
-        Err(error) => eprintln!("discovery cannot listen: {error}"),
+        Err(error) => eprintln!("discovery cannot listen on a new address: {error}"),
     }
 }
 
-fn switch_calls(sender: &Sender, fault: &Fault, is_on: bool) -> io::Result<()> {
+fn switch_syscalls(sender: &Sender, fault: &Fault, is_on: bool) -> io::Result<()> {
     let offset = match fault.kind {
         FaultKind::WallClockBack => -HOUR_MICROS,
         FaultKind::WallClockForward => HOUR_MICROS,
         FaultKind::WallClockSeconds => (i64::from(fault.rate) - 1_500) * 4_000,
         _ => return switch_rules(sender, fault, is_on),
     };
-    // A step stays: it is a second one that sets the clock right again.
+    // The offset stays after the fault; only a later step of the clock changes it.
     if is_on {
         sender.control.set_wall_offset(offset)?;
     }
@@ -180,7 +184,7 @@
 fn switch_rules(sender: &Sender, fault: &Fault, is_on: bool) -> io::Result<()> {
     for (call, modes, errnos, rate) in rules(fault) {
         if is_on {
-            sender.control.set(call, &Rule { rate, modes, errnos })?;
+            sender.control.set(call, &FailureRule { rate, modes, errnos })?;
         } else {
             sender.control.clear(call)?;
         }
@@ -188,45 +192,46 @@
     Ok(())
 }
 
-type CallRule = (Call, Vec<Mode>, Vec<i32>, u32);
+/// A system call with its kinds of failure, its error numbers and its rate, of ten thousand.
+type SyscallRule = (Syscall, Vec<Failure>, Vec<i32>, u32);
 
-/// The calls that a fault makes fail, and how.
-fn rules(fault: &Fault) -> Vec<CallRule> {
-    let often = fault.rate * 2;
-    let now_and_then = fault.rate.min(MAX_START_RATE);
-    let fails = || vec![Mode::Fails];
+/// Returns the system calls that a fault makes fail, with kinds of failure, error numbers and rate.
+fn rules(fault: &Fault) -> Vec<SyscallRule> {
+    let twice = fault.rate * 2;
+    let limited = fault.rate.min(MAX_START_RATE);
+    let fail = || vec![Failure::NotDone];
     match fault.kind {
-        FaultKind::DiskWrites => vec![(Call::WriteFile, fails(), vec![ENOSPC, EIO], often.max(2_000))],
+        FaultKind::DiskWrites => vec![(Syscall::WriteFile, fail(), vec![ENOSPC, EIO], twice.max(2_000))],
         FaultKind::DiskTornWrites => vec![
-            (Call::WriteFile, vec![Mode::PartlyDone], vec![ENOSPC, EIO], often),
-            (Call::Truncate, fails(), vec![EIO], 8_000),
+            (Syscall::WriteFile, vec![Failure::Partial], vec![ENOSPC, EIO], twice),
+            (Syscall::Truncate, fail(), vec![EIO], 8_000),
         ],
         FaultKind::DiskFalseFailures => {
-            vec![(Call::WriteFile, vec![Mode::DoneButFailed], vec![EIO], often)]
+            vec![(Syscall::WriteFile, vec![Failure::FalseFailure], vec![EIO], twice)]
         }
         FaultKind::DiskNames => vec![
-            (Call::Rename, vec![Mode::Fails, Mode::DoneButFailed], vec![EIO, ENOSPC], often),
-            (Call::OpenFile, fails(), vec![EMFILE, ENFILE, EIO, EINTR], now_and_then),
-            (Call::Unlink, fails(), vec![EIO], often),
-            (Call::Lock, fails(), vec![EINTR, ENOLCK], now_and_then),
-            (Call::Truncate, fails(), vec![EIO, EINTR], often),
+            (Syscall::Rename, vec![Failure::NotDone, Failure::FalseFailure], vec![EIO, ENOSPC], twice),
+            (Syscall::OpenFile, fail(), vec![EMFILE, ENFILE, EIO, EINTR], limited),
+            (Syscall::Unlink, fail(), vec![EIO], twice),
+            (Syscall::Lock, fail(), vec![EINTR, ENOLCK], limited),
+            (Syscall::Truncate, fail(), vec![EIO, EINTR], twice),
         ],
         FaultKind::DiskReads => {
-            vec![(Call::ReadFile, vec![Mode::Fails, Mode::PartlyDone], vec![EIO, EINTR], now_and_then)]
+            vec![(Syscall::ReadFile, vec![Failure::NotDone, Failure::Partial], vec![EIO, EINTR], limited)]
         }
         FaultKind::Sockets => {
-            vec![(Call::Socket, fails(), vec![EMFILE, ENFILE, ENOBUFS, ENOMEM], now_and_then)]
+            vec![(Syscall::Socket, fail(), vec![EMFILE, ENFILE, ENOBUFS, ENOMEM], limited)]
         }
         FaultKind::Accepts => {
-            vec![(Call::Accept, fails(), vec![EMFILE, ENFILE, ENOMEM, ECONNABORTED, EINTR], now_and_then)]
+            vec![(Syscall::Accept, fail(), vec![EMFILE, ENFILE, ENOMEM, ECONNABORTED, EINTR], limited)]
         }
         FaultKind::Connects => {
-            vec![(Call::Connect, fails(), vec![EINTR, ETIMEDOUT, EHOSTUNREACH], now_and_then)]
+            vec![(Syscall::Connect, fail(), vec![EINTR, ETIMEDOUT, EHOSTUNREACH], limited)]
         }
         FaultKind::Interrupts => vec![
-            (Call::Receive, vec![Mode::Fails, Mode::PartlyDone], vec![EINTR], fault.rate),
-            (Call::Send, vec![Mode::Fails, Mode::PartlyDone], vec![EINTR], fault.rate),
-            (Call::EpollWait, fails(), vec![EINTR], fault.rate),
+            (Syscall::Receive, vec![Failure::NotDone, Failure::Partial], vec![EINTR], fault.rate),
+            (Syscall::Send, vec![Failure::NotDone, Failure::Partial], vec![EINTR], fault.rate),
+            (Syscall::EpollWait, fail(), vec![EINTR], fault.rate),
         ],
         _ => Vec::new(),
     }
--- a/crates/fault-soak/src/history.rs
+++ b/crates/fault-soak/src/history.rs
@@ -1,4 +1,5 @@
-//! What clients, endpoints and discovery saw: the only thing that the oracle judges by.
+//! Records of what clients, endpoints and discovery observed, and of process events. The oracle uses nothing
+//! else.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,100 +9,100 @@
 
 use crate::settings::Class;
 
-/// What a client got for an answer.
+/// Result of a submission as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
-    /// 202 or 200.
+pub enum SubmitResult {
+    /// Status 202 or 200.
     Accepted,
-    /// 429 or 503: submitting it again is harmless.
+    /// Status 429 or 503: the message was not accepted, and submitting it again is safe.
     Refused,
-    /// Any other status.
+    /// Any other status, which the field holds.
     Failed(u16),
-    /// The client stopped waiting, or left on purpose.
+    /// The client timed out, or closed the connection without waiting for the response.
     Abandoned,
-    /// The connection ended without an answer, after the request was written to it.
+    /// The connection failed or ended without a response while the request was written or after that.
     Closed {
-        /// It was the first request of its connection.
+        /// Whether the request was the first one on its connection.
         is_fresh: bool,
     },
-    /// No connection could be made: nothing was submitted.
+    /// No connection could be established, so nothing was submitted.
     NotConnected,
 }
 
-/// A message as its client knows it.
+/// A submitted message as its client sees it.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// The sender that it was handed to.
+    /// Index of the sender that it was submitted to.
     pub sender: usize,
-    /// Its class.
+    /// Class of the message.
     pub class: Class,
-    /// Where it goes.
+    /// Number of its destination.
     pub destination: u64,
-    /// The key within which it keeps its order, with its place there.
+    /// Its order key and its position among the messages of that key.
     pub order: Option<(String, u64)>,
-    /// When its client began to send it.
+    /// Time at which its client began to submit it.
     pub submitted_at: Instant,
-    /// How long it may take from then on.
+    /// Time from the submission to its deadline.
     pub budget: Duration,
-    /// What its client got, and when.
-    pub answer: Option<(Answer, Instant)>,
-    /// Its client submitted it again under the same id after its end.
+    /// Result of the submission, and the time at which the client had it.
+    pub result: Option<(SubmitResult, Instant)>,
+    /// Whether its client submitted it again under the same id later.
     pub is_replayed: bool,
 }
 
 impl Message {
-    /// When it must have ended.
+    /// Time by which the message must have been delivered or ended by a notice.
     #[must_use]
     pub fn deadline(&self) -> Instant {
         self.submitted_at + self.budget
     }
 }
 
-/// What an endpoint did with a call.
+/// An endpoint's reply to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// 200: delivered.
+    /// Status 200: the message is delivered.
     Delivered,
-    /// 500: it may have run.
+    /// Status 500: the message may have taken effect.
     Error,
-    /// 429 with a wait, or 503 without one: it has not run.
+    /// Status 429 with a retry delay, or 503 without one: the message has not taken effect.
     Rejected {
-        /// How long to stay away.
+        /// How long the sender must wait before its next call to the destination.
         retry_after: Option<Duration>,
     },
-    /// Nothing, and the connection was reset: it may have run.
+    /// No response, and the connection was reset: the message may have taken effect.
     Reset,
 }
 
-/// A call whose last byte has arrived.
+/// A call that an endpoint has received completely.
 #[derive(Debug, Clone)]
 pub struct EndpointCall {
-    /// The message.
+    /// Call id of the message.
     pub call_id: String,
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// Where the endpoint belongs.
+    /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
-    /// The idempotency key that came with it.
+    /// Idempotency key in the call.
     pub idempotency_key: String,
-    /// When its first byte arrived.
+    /// Time at which its first byte arrived.
     pub first_byte_at: Instant,
-    /// When its last byte arrived.
+    /// Time at which its last byte arrived.
     pub arrived_at: Instant,
-    /// What the endpoint did, and when.
+    /// The reply of the endpoint, and its time.
     pub reply: Option<(Reply, Instant)>,
-    /// When its connection ended, if it did before the reply.
+    /// Time at which its connection ended, if that was before the reply.
     pub closed_at: Option<Instant>,
 }
 
 impl EndpointCall {
-    /// Whether the message may have run.
+    /// Whether the message may have taken effect by this call.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         !matches!(self.reply, Some((Reply::Rejected { .. }, _)))
     }
 
-    /// Since when the call is not out any more.
+    /// Time at which the call was replied to or its connection ended; `None` while it is in flight.
     #[must_use]
     pub fn ended_at(&self) -> Option<Instant> {
         let replied_at = self.reply.map(|(_, at)| at);
@@ -109,90 +110,91 @@
     }
 }
 
-/// How a notice says that a message ended.
+/// Result of a message in a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeResult {
-    /// `dead`
+    /// `dead` on the wire.
     Failed,
-    /// `bounced`
+    /// `bounced` on the wire.
     Rejected,
 }
 
-/// What happened to a sender's process.
+/// An event in the life of a sender's processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// SIGTERM or SIGKILL.
+    /// A process was sent SIGTERM or SIGKILL, or a successor was started that will be killed.
     Ending,
-    /// A successor was started, to take over.
+    /// A successor is started to take over.
     Upgrading,
-    /// A process answers clients.
+    /// A process is ready for clients, or its start timed out.
     Ready,
-    /// SIGSTOP.
+    /// The processes were suspended with SIGSTOP.
     Paused,
-    /// SIGCONT.
+    /// The processes were continued with SIGCONT.
     Resumed,
 }
 
-/// Something that is wrong without any rule about messages.
+/// A failure of a sender that is independent of the rules about messages, such as a crash.
 #[derive(Debug, Clone)]
 pub struct Incident {
-    /// The sender.
+    /// Index of the sender.
     pub sender: usize,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the failure.
+    pub description: String,
 }
 
-/// All that was seen.
+/// Everything that was recorded in a run.
 #[derive(Debug, Default)]
 pub struct Records {
-    /// Messages by id.
+    /// Submitted messages by call id.
     pub messages: BTreeMap<String, Message>,
-    /// Calls in the order in which they arrived.
+    /// Calls in the order of their arrival.
     pub calls: Vec<EndpointCall>,
-    /// Notices by message, each with the times at which it was acknowledged.
+    /// Notices by call id, each with its result and the time at which it was acknowledged.
     pub notices: BTreeMap<String, Vec<(NoticeResult, Instant)>>,
-    /// What happened to each sender.
-    pub processes: Vec<(usize, ProcessEvent, Instant)>,
-    /// When a sender was told that an endpoint drains or is gone, and when that it is up.
-    pub told: Vec<Told>,
-    /// Peers that are no clients: the sender, when they connected, and whether they got an error or a close.
+    /// Process events, each with the index of the sender and its time.
+    pub process_events: Vec<(usize, ProcessEvent, Instant)>,
+    /// Endpoint statuses that were sent to senders by discovery, in the order of sending.
+    pub status_updates: Vec<StatusUpdate>,
+    /// Connections of peers that send incomplete or invalid requests: index of the sender, time of the
+    /// connection attempt, and whether the sender answered or closed the connection in time.
     pub peers: Vec<(usize, Instant, bool)>,
-    /// What else is wrong.
+    /// Failures of senders other than violated rules about messages.
     pub incidents: Vec<Incident>,
 }
 
-/// A change of the list, written to a sender.
+/// The status of one endpoint, as discovery sent it to a sender.
 #[derive(Debug, Clone, Copy)]
-pub struct Told {
-    /// The sender.
+pub struct StatusUpdate {
+    /// Index of the sender.
     pub sender: usize,
-    /// The endpoint.
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// Whether it takes calls.
+    /// Whether the endpoint is listed as up, rather than as draining or removed.
     pub is_up: bool,
-    /// When that was written.
+    /// Time at which the response was prepared.
     pub at: Instant,
 }
 
-/// The history of one run, which all stand-ins write.
+/// The records of one run, which clients, endpoints, discovery and process control append to.
 #[derive(Debug, Default)]
 pub struct History {
     records: Mutex<Records>,
 }
 
 impl History {
-    /// The records, for as long as the guard lives.
+    /// Locks the records for as long as the guard lives.
     pub fn records(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records what happened to a process, now.
-    pub fn process(&self, sender: usize, event: ProcessEvent) {
-        self.records().processes.push((sender, event, Instant::now()));
+    /// Records a process event of a sender with the current time.
+    pub fn record_process_event(&self, sender: usize, event: ProcessEvent) {
+        self.records().process_events.push((sender, event, Instant::now()));
     }
 
-    /// Records that something is wrong with a sender.
-    pub fn incident(&self, sender: usize, what: impl Into<String>) {
-        self.records().incidents.push(Incident { sender, what: what.into() });
+    /// Records a failure of a sender.
+    pub fn record_incident(&self, sender: usize, description: impl Into<String>) {
+        self.records().incidents.push(Incident { sender, description: description.into() });
     }
 }
--- a/crates/fault-soak/src/http.rs
+++ b/crates/fault-soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP messages as the stand-ins read them off a connection, and the times at which they arrive.
+//! Reading of HTTP messages from a connection, with the times of their arrival.
 
 use std::collections::HashMap;
 use std::io;
@@ -6,32 +6,32 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 use tokio::time::Instant;
 
-/// No head is longer: a sender that writes more does the wrong thing.
+/// Most header lines that are read; a sender that writes more is at fault.
 const MAX_HEAD_LINES: usize = 64;
 
-/// A request or an answer that was read completely.
+/// A request or a response that was read completely.
 #[derive(Debug, Clone)]
 pub struct HttpMessage {
-    /// The request line or the status line, without its end.
+    /// Request line or status line, without the line end.
     pub start_line: String,
-    /// The headers; the names are in lower case.
+    /// Headers by their names in lower case.
     pub headers: HashMap<String, String>,
-    /// The body, as long as `Content-Length` says.
+    /// Body, with the length in `Content-Length`.
     pub body: Vec<u8>,
-    /// When its first byte arrived.
+    /// Time at which its first byte arrived.
     pub first_byte_at: Instant,
-    /// When its last byte had arrived.
+    /// Time at which it was complete.
     pub complete_at: Instant,
 }
 
 impl HttpMessage {
-    /// A header's value, or nothing.
+    /// Returns the value of a header, or an empty string if there is none.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The status code of an answer; 0 if there is none.
+    /// Returns the status code of a response; 0 if there is none.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// The connection broke, or ended within the message.
+/// The connection failed, or ended within the message.
 pub async fn read_message<R: AsyncRead + Unpin>(
     reader: &mut BufReader<R>,
 ) -> io::Result<Option<HttpMessage>> {
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! A randomized fault soak of the message sender: real processes on loopback, stand-ins for clients,
+//! Randomized fault injection for the message sender: real sender processes on loopback, simulated clients,
 //! endpoints and discovery, and a library loaded into the senders that makes system calls fail.
 //!
-//! Each seed draws a [`plan`] of faults that overlap in time, prints it, and plays it. The [`oracle`] sees
-//! only what clients, endpoints and discovery see ([`history`]), and judges it by the rules of the protocol.
-//! The senders' own count of violated invariants is a second oracle.
+//! For each seed, a [`plan`] of faults that overlap in time is drawn, printed and executed. The [`oracle`]
+//! checks the rules of the protocol against the [`history`], which holds only what clients, endpoints and
+//! discovery observed. The senders' own count of violated invariants is a second oracle.
 
 pub mod client;
 pub mod discovery;
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,55 +1,55 @@
-//! `fault-soak`: plays seeds of randomized faults against real senders, and says which rules were broken.
+//! `fault-soak`: runs seeds of randomized faults against real senders and prints the violated rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use anyhow::{Context, Result};
 use clap::{Parser, ValueEnum};
-use fault_soak::plan::{FaultKind, Plan, USUAL_MAX_KINDS};
-use fault_soak::planted::Plant;
+use fault_soak::plan::{FaultKind, Plan, DEFAULT_MAX_KINDS};
+use fault_soak::planted::PlantedDefect;
 use fault_soak::sender::find_executable;
-use fault_soak::soak::{play, Options, Report};
+use fault_soak::soak::{run_plan, Options, Report};
 
-/// Violations of a seed that are printed in full.
+/// Maximum number of violations of a seed that are printed in full.
 const MAX_PRINTED: usize = 12;
 
-/// Plays seeds of randomized faults against real senders.
+/// Runs seeds of randomized faults against real senders.
 #[derive(Parser)]
 struct Arguments {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How many seeds at a time.
+    /// Number of seeds that run at the same time.
     #[arg(long, default_value_t = 1)]
     parallel: usize,
-    /// Senders in each seed.
+    /// Number of senders in each seed.
     #[arg(long, default_value_t = 10)]
     senders: usize,
-    /// Draw only from these kinds of faults.
+    /// Kinds of faults to draw from; all if not given.
     #[arg(long, value_delimiter = ',')]
     kinds: Vec<FaultKind>,
-    /// Never draw these kinds.
+    /// Kinds of faults that are never drawn.
     #[arg(long, value_delimiter = ',')]
     except: Vec<FaultKind>,
-    /// Most kinds of faults in a seed.
-    #[arg(long, default_value_t = USUAL_MAX_KINDS)]
+    /// Maximum number of kinds of faults drawn for a seed.
+    #[arg(long, default_value_t = DEFAULT_MAX_KINDS)]
     max_kinds: usize,
-    /// Play a red seed again without one kind after the other, and say which of them it needs.
+    /// Run a failed seed again without one kind of fault after the other, and print the kinds that it needs.
     #[arg(long)]
     shrink: bool,
-    /// Plant a mistake: the seed has to be red. May be given more than once.
+    /// Plant a defect, with which the seed must fail. May be given more than once.
     #[arg(long)]
-    plant: Vec<Plant>,
-    /// The senders' `RUST_LOG`.
+    plant: Vec<PlantedDefect>,
+    /// `RUST_LOG` of the senders.
     #[arg(long, default_value = "info")]
     log: String,
-    /// Keep the senders' logs of red seeds in this folder.
+    /// Copy the logs of the senders to this folder if a seed fails.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// The sender's program, if not the one beside this program.
+    /// Path of the sender executable, if it is not in the folder of this program or the folder above.
     #[arg(long)]
     executable: Option<PathBuf>,
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Plays all seeds; returns how many were red.
+/// Runs all seeds and returns how many failed.
 fn run(arguments: &Arguments) -> Result<usize> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build()?;
     let executable = match &arguments.executable {
@@ -77,26 +77,26 @@
         executable,
         log_filter: arguments.log.clone(),
         logs: arguments.logs.clone(),
-        plants: arguments.plant.clone(),
+        planted_defects: arguments.plant.clone(),
     };
     let kinds = arguments.kinds();
     let plans = (arguments.seed..arguments.seed + arguments.seeds)
         .map(|seed| Plan::draw(seed, &kinds, arguments.max_kinds));
     let plans: Vec<Plan> = plans.collect();
-    let mut red = 0;
+    let mut failed = 0;
     for batch in plans.chunks(arguments.parallel.max(1)) {
-        for (plan, report) in runtime.block_on(play_batch(batch, &options))? {
+        for (plan, report) in runtime.block_on(run_batch(batch, &options))? {
             print_report(&plan, &report);
             if !report.violations.is_empty() {
-                red += 1;
+                failed += 1;
                 if arguments.shrink {
                     shrink(&runtime, plan, &report, &options)?;
                 }
             }
         }
     }
-    println!("{} seeds, {red} red", plans.len());
-    Ok(red)
+    println!("{} seeds, {failed} failed", plans.len());
+    Ok(failed)
 }
 
 impl Arguments {
@@ -107,30 +107,30 @@
     }
 }
 
-async fn play_batch(plans: &[Plan], options: &Options) -> Result<Vec<(Plan, Report)>> {
+async fn run_batch(plans: &[Plan], options: &Options) -> Result<Vec<(Plan, Report)>> {
     let mut tasks = Vec::new();
     for (run, plan) in plans.iter().cloned().enumerate() {
-        println!("seed {} plays:\n{plan}", plan.seed);
+        println!("plan of seed {}:\n{plan}", plan.seed);
         let options = options.clone();
         let address = run as u8 + (std::process::id() % 50) as u8 * 5;
         tasks.push(tokio::spawn(async move {
-            let report = play(&plan, &options, address).await;
+            let report = run_plan(&plan, &options, address).await;
             report.map(|report| (plan, report))
         }));
     }
     let mut reports = Vec::new();
     for task in tasks {
-        reports.push(task.await.context("a seed did not end")??);
+        reports.push(task.await.context("the run of a seed panicked")??);
     }
     Ok(reports)
 }
 
 fn print_report(plan: &Plan, report: &Report) {
-    let Report { violations, accepted, submitted, calls, invariants } = report;
-    let verdict = if violations.is_empty() { "green" } else { "RED" };
+    let Report { violations, accepted, submitted, calls, invariant_violations } = report;
+    let verdict = if violations.is_empty() { "passed" } else { "FAILED" };
     println!(
         "seed {}: {verdict}, {accepted} of {submitted} accepted, {calls} calls, {} violations, \
-         {invariants} counted by the senders, kinds {:?}",
+         {invariant_violations} invariant violations counted by the senders, kinds {:?}",
         plan.seed,
         violations.len(),
         plan.kinds()
@@ -145,19 +145,20 @@
     }
 }
 
-/// Leaves out one kind after the other for as long as the seed stays red.
+/// Removes one kind of fault after the other from the plan, as long as the seed still violates the same rule.
 fn shrink(runtime: &tokio::runtime::Runtime, plan: Plan, report: &Report, options: &Options) -> Result<()> {
     let rule = report.violations[0].rule;
-    let mut smallest = plan;
-    for kind in smallest.kinds() {
-        let smaller = smallest.without(kind);
-        let played = runtime.block_on(play_batch(std::slice::from_ref(&smaller), options))?;
-        let is_red = played.iter().any(|(_, report)| report.violations.iter().any(|it| it.rule == rule));
-        println!("without {kind:?}: {}", if is_red { "still red" } else { "green" });
-        if is_red {
-            smallest = smaller;
+    let mut minimal = plan;
+    for kind in minimal.kinds() {
+        let reduced = minimal.without(kind);
+        let reports = runtime.block_on(run_batch(std::slice::from_ref(&reduced), options))?;
+        let still_fails =
+            reports.iter().any(|(_, report)| report.violations.iter().any(|it| it.rule == rule));
+        println!("without {kind:?}: {}", if still_fails { "still fails" } else { "passes" });
+        if still_fails {
+            minimal = reduced;
         }
     }
-    println!("smallest schedule of seed {} for {rule}:\n{smallest}", smallest.seed);
+    println!("minimal plan of seed {} that violates {rule}:\n{minimal}", minimal.seed);
     Ok(())
 }
--- a/crates/fault-soak/src/oracle.rs
+++ b/crates/fault-soak/src/oracle.rs
@@ -1,39 +1,39 @@
-//! Judges a history by the rules of the protocol.
+//! Checks the rules of the protocol against the history of a run.
 //!
-//! It knows nothing of the sender but what its clients, endpoints and discovery saw, and when its processes
-//! were killed, paused or ready.
+//! All that the oracle knows about a sender is what clients, endpoints and discovery observed, and when its
+//! processes were ended, paused or ready.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::client::PEER_LIMIT;
-use crate::disturbance::disturbances;
-use crate::history::{Answer, EndpointCall, Message, ProcessEvent, Records, Reply, Told};
+use crate::client::PEER_TIMEOUT;
+use crate::disturbance::disruptions;
+use crate::history::{EndpointCall, Message, ProcessEvent, Records, Reply, StatusUpdate, SubmitResult};
 use crate::settings::{Class, DRAIN_GRACE_MS, IDEMPOTENCY_WINDOW_MS};
 use crate::violation::Violation;
 
-/// A message is lost so long after its time.
+/// How long after its deadline a message may end before it counts as late.
 const END_GRACE: Duration = Duration::from_millis(300);
-/// Nothing is overdue before so long after a process is ready.
+/// A message that is due around a disruption may end up to this long after the disruption.
 const RESTART_GRACE: Duration = Duration::from_millis(1_500);
-/// The protocol's allowance on each limit, and what this machine may add.
-const SLACK: Duration = Duration::from_millis(150);
-/// A sender may be held up so long between reading its clock and writing.
-const HOLD_UP: Duration = Duration::from_millis(150);
-/// Calls that arrive so soon after an answer with a wait are let through.
-const WAIT_GRACE: Duration = Duration::from_millis(100);
-/// Of fewer recovered messages than this, half says nothing.
+/// Added to each limit: the tolerance of the protocol, and delays of the test machine.
+const TOLERANCE: Duration = Duration::from_millis(150);
+/// Longest time that a sender may be delayed between reading its clock and writing a request.
+const SCHEDULING_DELAY: Duration = Duration::from_millis(150);
+/// Calls that arrive this soon after a rejection with a retry delay are not reported.
+const RETRY_AFTER_GRACE: Duration = Duration::from_millis(100);
+/// With fewer recovered messages than this, the share that was given up early is not meaningful.
 const MIN_RECOVERED: usize = 6;
-/// A message that is ended with more of its time left than this is given up early.
-const EARLY: Duration = Duration::from_millis(800);
-/// Peers that are no clients may fail to get an error or a close, this share of them.
-const PEER_SHARE: usize = 20;
-/// Longest that a client can have waited for its answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+/// A message that ends more than this before its deadline was given up early.
+const EARLY_FAILURE_MARGIN: Duration = Duration::from_millis(800);
+/// At most one in this many peers with incomplete or invalid requests may get neither an error nor a close.
+const PEERS_PER_UNANSWERED: usize = 20;
+/// Longest time that a client waits for the response to a submission.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Judges one history.
+/// Checks the records of one run.
 pub struct Oracle<'a> {
     records: &'a Records,
     calls: BTreeMap<&'a str, Vec<&'a EndpointCall>>,
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Oracle<'a> {
-    /// An oracle that tells times from this one on.
+    /// Creates an oracle for these records of a run that began at `start`.
     #[must_use]
     pub fn new(records: &'a Records, start: Instant) -> Self {
         let mut calls: BTreeMap<&str, Vec<&EndpointCall>> = BTreeMap::new();
@@ -52,23 +52,23 @@
         Self { records, calls, start, violations: Vec::new() }
     }
 
-    /// All rules that were broken.
+    /// Checks all rules and returns the violations.
     #[must_use]
-    pub fn judge(mut self) -> Vec<Violation> {
+    pub fn find_violations(mut self) -> Vec<Violation> {
         for incident in &self.records.incidents {
-            self.report("process", format!("sender {}: {}", incident.sender, incident.what));
+            self.report("process", format!("sender {}: {}", incident.sender, incident.description));
         }
         for (id, message) in &self.records.messages {
             self.check_end(id, message);
-            self.check_answer(id, message);
+            self.check_submission(id, message);
             self.check_repeats(id, message);
         }
         self.check_order();
         self.check_overlaps();
-        self.check_foreign_calls();
+        self.check_unexpected_calls();
         self.check_drains();
-        self.check_waits();
-        self.check_recovered();
+        self.check_retry_after();
+        self.check_restarts();
         self.check_peers();
         self.violations
     }
@@ -106,12 +106,12 @@
             times.collect::<Vec<_>>()
         });
         format!(
-            "{id} ({:?}, to {}) submitted {:.3}, due {:.3}, answer {:?}, calls {calls:?}, notices {notices:?}",
+            "{id} ({:?}, to {}) submitted {:.3}, due {:.3}, result {:?}, calls {calls:?}, notices {notices:?}",
             message.class,
             message.destination,
             self.seconds(message.submitted_at),
             self.seconds(message.deadline()),
-            message.answer.map(|(answer, _)| answer),
+            message.result.map(|(result, _)| result),
         )
     }
 
@@ -127,56 +127,59 @@
         self.records.notices.get(id)?.iter().map(|(_, at)| *at).min()
     }
 
-    /// An accepted message is delivered or ended by a notice in time.
+    /// Checks that an accepted message is delivered or ended by a notice in time.
     fn check_end(&mut self, id: &str, message: &Message) {
-        if message.answer.is_none_or(|(answer, _)| answer != Answer::Accepted) {
+        if message.result.is_none_or(|(result, _)| result != SubmitResult::Accepted) {
             return;
         }
-        let due = self.extended(message.sender, message.deadline() + END_GRACE) + SLACK;
+        let due = self.extend_due_time(message.sender, message.deadline() + END_GRACE) + TOLERANCE;
         let ended = self.delivered_at(id).into_iter().chain(self.notified_at(id)).min();
         match ended {
             Some(at) if at <= due => {}
             Some(at) => {
                 let late = at - due;
-                self.report("late", format!("by {late:?}: {}", self.describe(id, message)));
+                self.report("late", format!("{late:?} after the limit: {}", self.describe(id, message)));
             }
             None => self.report("lost", self.describe(id, message)),
         }
     }
 
-    /// When something is due at the latest that a restart or a pause of the sender may delay.
-    fn extended(&self, sender: usize, due: Instant) -> Instant {
+    /// Returns the latest time for something that is due, if restarts and pauses of the sender may delay it.
+    fn extend_due_time(&self, sender: usize, due: Instant) -> Instant {
         let mut due = due;
-        for (began, ended) in disturbances(self.records, sender, self.start) {
-            if let Some(ended) = ended.filter(|_| began <= due) {
-                due = due.max(ended + RESTART_GRACE);
+        for (start, end) in disruptions(self.records, sender, self.start) {
+            if let Some(end) = end.filter(|_| start <= due) {
+                due = due.max(end + RESTART_GRACE);
             }
         }
         due
     }
 
-    /// Whether a process of the sender was ending, starting or paused around this span.
-    fn is_disturbed(&self, sender: usize, from: Instant, to: Instant) -> bool {
-        let spans = disturbances(self.records, sender, self.start);
+    /// Whether a process of the sender was ending, starting or paused around this period.
+    fn is_disrupted(&self, sender: usize, from: Instant, to: Instant) -> bool {
+        let spans = disruptions(self.records, sender, self.start);
         spans
             .into_iter()
-            .any(|(began, ended)| began <= to + SLACK && ended.is_none_or(|ended| from <= ended + SLACK))
+            .any(|(start, end)| start <= to + TOLERANCE && end.is_none_or(|end| from <= end + TOLERANCE))
     }
 
-    /// A refusal promises that nothing happens; a request that was read gets an answer.
-    fn check_answer(&mut self, id: &str, message: &Message) {
-        let Some((answer, at)) = message.answer else { return };
-        if answer == Answer::Refused && !self.calls_of(id).is_empty() {
+    /// Checks that a refused message is never sent, and that a request on a new connection gets a response
+    /// unless the sender is disrupted.
+    fn check_submission(&mut self, id: &str, message: &Message) {
+        let Some((result, at)) = message.result else { return };
+        if result == SubmitResult::Refused && !self.calls_of(id).is_empty() {
             self.report("sent after refusal", self.describe(id, message));
         }
-        let submitted = at.checked_sub(ANSWER_LIMIT).unwrap_or(at);
-        if answer == (Answer::Closed { is_fresh: true }) && !self.is_disturbed(message.sender, submitted, at)
+        let submitted = at.checked_sub(RESPONSE_TIMEOUT).unwrap_or(at);
+        if result == (SubmitResult::Closed { is_fresh: true })
+            && !self.is_disrupted(message.sender, submitted, at)
         {
             self.report("closed without an answer", self.describe(id, message));
         }
     }
 
-    /// What may have run is repeated only as its class allows.
+    /// Checks that a message that may have taken effect is sent again only as its class permits, and that its
+    /// calls have its idempotency key.
     fn check_repeats(&mut self, id: &str, message: &Message) {
         let calls = self.calls_of(id);
         let ambiguous: Vec<_> = calls.iter().filter(|call| call.may_have_run()).collect();
@@ -184,12 +187,12 @@
         let later: Vec<_> = calls.iter().filter(|call| call.arrived_at > first.arrived_at).collect();
         match message.class {
             Class::Once if !later.is_empty() => {
-                let replayed = if message.is_replayed { "replayed by its client, " } else { "" };
+                let replayed = if message.is_replayed { "submitted again by its client, " } else { "" };
                 self.report("duplicate", format!("{replayed}{}", self.describe(id, message)));
             }
             Class::Once | Class::Pure => {}
             Class::Keyed | Class::Ordered => {
-                let limit = Duration::from_millis(IDEMPOTENCY_WINDOW_MS) + HOLD_UP + SLACK;
+                let limit = Duration::from_millis(IDEMPOTENCY_WINDOW_MS) + SCHEDULING_DELAY + TOLERANCE;
                 let is_late = |call: &&&EndpointCall| call.first_byte_at > first.first_byte_at + limit;
                 if later.iter().any(is_late) {
                     self.report("outside the window", self.describe(id, message));
@@ -201,118 +204,119 @@
         }
     }
 
-    /// A message of a key goes only once all before it are over.
+    /// Checks that a message with an order key is sent only after all accepted messages before it have ended.
     fn check_order(&mut self) {
         let mut keys: BTreeMap<&str, Vec<(u64, &String, &Message)>> = BTreeMap::new();
         for (id, message) in &self.records.messages {
-            if let Some((key, place)) = &message.order {
-                keys.entry(key).or_default().push((*place, id, message));
+            if let Some((key, position)) = &message.order {
+                keys.entry(key).or_default().push((*position, id, message));
             }
         }
-        let mut found = Vec::new();
+        let mut details = Vec::new();
         for messages in keys.values_mut() {
-            messages.sort_by_key(|(place, ..)| *place);
-            self.check_key(messages, &mut found);
+            messages.sort_by_key(|(position, ..)| *position);
+            self.check_key_order(messages, &mut details);
         }
-        self.report_all("order", found);
+        self.report_all("order", details);
     }
 
-    fn check_key(&self, messages: &[(u64, &String, &Message)], found: &mut Vec<String>) {
+    fn check_key_order(&self, messages: &[(u64, &String, &Message)], details: &mut Vec<String>) {
         for (index, (_, id, message)) in messages.iter().enumerate() {
             let Some(first_call) = self.calls_of(id).iter().map(|call| call.arrived_at).min() else {
                 continue;
             };
             let is_open = |(_, other, earlier): &&(u64, &String, &Message)| {
                 let over = self.delivered_at(other).into_iter().chain(self.notified_at(other)).min();
-                let is_accepted = earlier.answer.is_some_and(|(answer, _)| answer == Answer::Accepted);
+                let is_accepted = earlier.result.is_some_and(|(result, _)| result == SubmitResult::Accepted);
                 is_accepted && over.is_none_or(|over| over > first_call)
             };
             if let Some((_, other, earlier)) = messages[..index].iter().find(is_open) {
                 let (later, earlier) = (self.describe(id, message), self.describe(other, earlier));
-                found.push(format!("{later} went before {earlier}"));
+                details.push(format!("{later} was sent before the end of {earlier}"));
             }
         }
     }
 
-    /// Never two calls of a message out together.
+    /// Checks that no message has two calls in flight at the same time.
     fn check_overlaps(&mut self) {
-        let mut found = Vec::new();
+        let mut overlapping = Vec::new();
         for (id, calls) in &self.calls {
             for (index, call) in calls.iter().enumerate() {
-                let is_out = |other: &&EndpointCall| {
+                let is_in_flight = |other: &&EndpointCall| {
                     other.ended_at().is_none_or(|ended| ended > call.arrived_at)
                         && other.first_byte_at <= call.first_byte_at
                 };
-                if calls[..index].iter().any(is_out) {
-                    found.push((*id).to_owned());
+                if calls[..index].iter().any(is_in_flight) {
+                    overlapping.push((*id).to_owned());
                 }
             }
         }
-        for id in found {
+        for id in overlapping {
             let Some(message) = self.records.messages.get(&id) else { continue };
             self.report("two attempts out", self.describe(&id, message));
         }
     }
 
-    /// Each call is of a message that a client handed in, at its own destination.
-    fn check_foreign_calls(&mut self) {
-        let mut found = Vec::new();
+    /// Checks that each call is for a submitted message and arrives at the destination of that message.
+    fn check_unexpected_calls(&mut self) {
+        let mut details = Vec::new();
         for call in &self.records.calls {
             let message = self.records.messages.get(&call.call_id);
             if message.is_none_or(|message| message.destination != call.destination) {
-                found.push(format!("{} at s-{}", call.call_id, call.endpoint));
+                details.push(format!("{} at endpoint s-{}", call.call_id, call.endpoint));
             }
         }
-        self.report_all("foreign call", found);
+        self.report_all("foreign call", details);
     }
 
     fn sender_of(&self, call: &EndpointCall) -> Option<usize> {
         Some(self.records.messages.get(&call.call_id)?.sender)
     }
 
-    /// Nothing new goes to an endpoint some time after the sender was told that it drains or is gone. What an
-    /// earlier process was told counts for nothing.
+    /// Checks that no call goes to an endpoint that was listed to the sender as draining or removed, once the
+    /// drain grace is over. A status that was sent to an earlier process does not count.
     fn check_drains(&mut self) {
-        let grace = Duration::from_millis(DRAIN_GRACE_MS) + HOLD_UP + SLACK;
-        let mut found = Vec::new();
+        let grace = Duration::from_millis(DRAIN_GRACE_MS) + SCHEDULING_DELAY + TOLERANCE;
+        let mut details = Vec::new();
         for call in &self.records.calls {
             let Some(sender) = self.sender_of(call) else { continue };
             let at = call.first_byte_at;
             let is_own =
-                |told: &&Told| told.sender == sender && told.endpoint == call.endpoint && told.at <= at;
-            let Some(last) = self.records.told.iter().rfind(is_own) else { continue };
-            if !last.is_up && at > last.at + grace && !self.is_disturbed(sender, last.at, at) {
-                found.push(format!("{} at {:.3}", call.call_id, self.seconds(at)));
+                |it: &&StatusUpdate| it.sender == sender && it.endpoint == call.endpoint && it.at <= at;
+            let Some(last) = self.records.status_updates.iter().rfind(is_own) else { continue };
+            if !last.is_up && at > last.at + grace && !self.is_disrupted(sender, last.at, at) {
+                details.push(format!("{} sent at {:.3} s", call.call_id, self.seconds(at)));
             }
         }
-        self.report_all("drain", found);
+        self.report_all("drain", details);
     }
 
-    /// A wait that a destination told is heeded by the process that was told.
-    fn check_waits(&mut self) {
-        let mut found = Vec::new();
+    /// Checks that a process waits for the retry delay of a destination that rejected one of its calls.
+    fn check_retry_after(&mut self) {
+        let mut details = Vec::new();
         for (sender, destination, calls) in self.calls_by_route() {
-            for told in &calls {
-                let Some((Reply::Rejected { retry_after: Some(wait) }, replied_at)) = told.reply else {
+            for rejected in &calls {
+                let Some((Reply::Rejected { retry_after: Some(wait) }, replied_at)) = rejected.reply else {
                     continue;
                 };
-                let (from, to) = (replied_at + WAIT_GRACE + SLACK, replied_at + wait);
+                let (from, to) = (replied_at + RETRY_AFTER_GRACE + TOLERANCE, replied_at + wait);
                 let first = calls.partition_point(|call| call.first_byte_at <= from);
                 let early = calls[first..].first().filter(|call| call.first_byte_at < to);
                 if let Some(early) =
-                    early.filter(|early| !self.is_disturbed(sender, replied_at, early.first_byte_at))
+                    early.filter(|early| !self.is_disrupted(sender, replied_at, early.first_byte_at))
                 {
-                    found.push(format!(
-                        "{} within the wait that {destination} told to {}",
-                        early.call_id, told.call_id
+                    details.push(format!(
+                        "{} sent within the retry delay that destination {destination} gave {}",
+                        early.call_id, rejected.call_id
                     ));
                 }
             }
         }
-        self.report_all("retry-after", found);
+        self.report_all("retry-after", details);
     }
 
-    /// The calls of each sender to each destination, in the order of their first bytes.
+    /// Returns the calls of each sender to each destination, in the order of the arrival of their first
+    /// bytes.
     fn calls_by_route(&self) -> Vec<(usize, u64, Vec<&'a EndpointCall>)> {
         let mut routes: BTreeMap<(usize, u64), Vec<&EndpointCall>> = BTreeMap::new();
         for call in &self.records.calls {
@@ -327,31 +331,32 @@
         sorted.collect()
     }
 
-    /// Peers that are no clients get an error or a close in time.
+    /// Checks that peers with incomplete or invalid requests get an error or a close in time.
     fn check_peers(&mut self) {
-        let undisturbed: Vec<bool> = self
+        let undisrupted: Vec<bool> = self
             .records
             .peers
             .iter()
-            .filter(|(sender, at, _)| !self.is_disturbed(*sender, *at, *at + PEER_LIMIT))
+            .filter(|(sender, at, _)| !self.is_disrupted(*sender, *at, *at + PEER_TIMEOUT))
             .map(|(_, _, is_answered)| *is_answered)
             .collect();
-        let unanswered = undisturbed.iter().filter(|is_answered| !**is_answered).count();
-        if unanswered * PEER_SHARE > undisturbed.len() {
-            self.report("peers", format!("{unanswered} of {} got no error or close", undisturbed.len()));
+        let unanswered = undisrupted.iter().filter(|is_answered| !**is_answered).count();
+        if unanswered * PEERS_PER_UNANSWERED > undisrupted.len() {
+            self.report("peers", format!("{unanswered} of {} got no error or close", undisrupted.len()));
         }
     }
 
-    /// What a restart finds unattempted, with half of its time left, is attempted.
-    fn check_recovered(&mut self) {
-        let processes = &self.records.processes;
-        let ready = processes.iter().filter(|(_, event, _)| *event == ProcessEvent::Ready);
+    /// Checks that messages which a restart recovers without an attempt, and with half of their time left,
+    /// are attempted.
+    fn check_restarts(&mut self) {
+        let process_events = &self.records.process_events;
+        let ready = process_events.iter().filter(|(_, event, _)| *event == ProcessEvent::Ready);
         let restarts: Vec<(usize, Instant, Instant)> = ready
             .filter_map(|(sender, _, ready_at)| {
                 let ending = |(other, event, at): &&(usize, ProcessEvent, Instant)| {
                     other == sender && *event == ProcessEvent::Ending && at < ready_at
                 };
-                Some((*sender, processes.iter().rfind(ending)?.2, *ready_at))
+                Some((*sender, process_events.iter().rfind(ending)?.2, *ready_at))
             })
             .collect();
         for (sender, ending_at, ready_at) in restarts {
@@ -359,10 +364,11 @@
         }
     }
 
-    /// Whether a message was ended with no call well before its time.
+    /// Whether a message was ended by a notice without a call, well before its deadline.
     fn is_given_up_early(&self, id: &str) -> bool {
         let Some(message) = self.records.messages.get(id) else { return false };
-        self.calls_of(id).is_empty() && self.notified_at(id).is_some_and(|at| at + EARLY < message.deadline())
+        self.calls_of(id).is_empty()
+            && self.notified_at(id).is_some_and(|at| at + EARLY_FAILURE_MARGIN < message.deadline())
     }
 
     fn check_restart(&mut self, sender: usize, ending_at: Instant, ready_at: Instant) {
@@ -375,7 +381,7 @@
                 message.sender == sender && message.deadline() >= ready_at + message.budget / 2
             })
             .filter(|(_, message)| {
-                message.answer.is_some_and(|(answer, at)| answer == Answer::Accepted && at < ending_at)
+                message.result.is_some_and(|(result, at)| result == SubmitResult::Accepted && at < ending_at)
             })
             .filter(|(id, _)| is_unattempted(id) && self.notified_at(id).is_none_or(|at| at > ending_at))
             .map(|(id, _)| id)
@@ -385,7 +391,7 @@
             self.report(
                 "recovered and given up",
                 format!(
-                    "sender {sender} ready at {:.3}: {given_up} of {} with no call",
+                    "sender {sender}, ready at {:.3} s: {given_up} of {} ended early without a call",
                     self.seconds(ready_at),
                     recovered.len()
                 ),
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed plays: a few fault kinds out of all, each at drawn times and on drawn senders.
+//! Plans of faults: each seed determines a few kinds of faults, their times and their targets.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,116 +8,118 @@
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum FaultKind {
-    /// SIGKILL, and a start 0.6 s later.
+    /// SIGKILL, and a restart 0.6 s later.
     Kill,
-    /// SIGKILL twice in a row, the second one during the start.
+    /// SIGKILL, and a second SIGKILL soon after the restart.
     KillTwice,
-    /// SIGTERM, SIGKILL 3.7 s later, and a start 0.6 s after the end.
+    /// SIGTERM, SIGKILL if the process has not ended after 3.7 s, and a restart 0.6 s after its end.
     Terminate,
-    /// A successor process takes over.
+    /// A successor process takes over by handover.
     Upgrade,
-    /// A successor takes over, and is killed soon after its start.
+    /// A successor is killed soon after its start, possibly during or after the handover.
     UpgradeDies,
-    /// SIGTERM to the predecessor while its successor is starting, which is then killed.
+    /// SIGTERM to the predecessor while its successor is starting; the successor is killed soon after.
     UpgradeCrossed,
-    /// SIGSTOP, and SIGCONT some time later.
+    /// SIGSTOP, and SIGCONT at most 2.5 s later.
     Pause,
-    /// Discovery moves to another address, with SIGHUP.
+    /// The configuration file gets another address of discovery, followed by SIGHUP.
     Reload,
-    /// As `Reload`, but the file is half written when the signal comes.
+    /// As `Reload`, but the file is only half written when the signal is sent.
     TornReload,
-    /// The wall clock is set back an hour.
+    /// The wall clock is set back by an hour.
     WallClockBack,
-    /// The wall clock is set forward an hour.
+    /// The wall clock is set forward by an hour.
     WallClockForward,
-    /// The wall clock is set by some seconds, either way.
+    /// The wall clock is set back or forward by some seconds.
     WallClockSeconds,
-    /// Writes to the folder fail.
+    /// Writes to files fail, for example because the disk is full.
     DiskWrites,
-    /// Writes to the folder stop half-way, and cutting the part off fails too.
+    /// Writes to files are partial, and truncating the file afterwards mostly fails too.
     DiskTornWrites,
-    /// Writes are done and reported as failed.
+    /// Writes to files succeed, but are reported as failed.
     DiskFalseFailures,
-    /// Renames, opens, locks and removals in the folder fail, now and then.
+    /// Renames, opens, locks, truncations and removals of files fail at times.
     DiskNames,
-    /// Reads of files fail, now and then.
+    /// Reads of files fail or are partial at times.
     DiskReads,
-    /// `socket` fails, now and then.
+    /// `socket` and similar calls fail at times.
     Sockets,
-    /// `accept` fails, now and then.
+    /// `accept` fails at times.
     Accepts,
-    /// `connect` fails, now and then.
+    /// `connect` fails at times.
     Connects,
-    /// Calls are interrupted, and reads and writes cut short.
+    /// System calls on sockets are interrupted (EINTR), and reads and writes are partial.
     Interrupts,
-    /// Endpoints fail and reset calls.
+    /// Endpoints answer some calls with errors or connection resets.
     EndpointsFlaky,
-    /// Endpoints hang.
+    /// Endpoints do not respond.
     EndpointsHang,
-    /// Endpoints reset each call.
+    /// Endpoints reset the connection of each call.
     EndpointsReset,
-    /// Endpoints answer a byte at a time, or late.
+    /// Endpoints send their responses one byte at a time, or late.
     EndpointsSlow,
-    /// Endpoints drain, go and come back.
+    /// An endpoint is listed as draining or removed, and later as up again.
     EndpointsDrain,
-    /// Discovery answers 503.
+    /// Discovery responds with 503.
     DiscoveryDown,
-    /// Discovery answers nothing.
+    /// Discovery does not respond for 30 s.
     DiscoverySilent,
-    /// Discovery counts versions anew.
+    /// Discovery restarts its version numbers at 1.
     DiscoveryReset,
-    /// Clients leave without their answer.
+    /// Some clients disconnect without waiting for the response.
     ClientsLeave,
-    /// Peers stop half-way in a request, and stay.
+    /// Peers send incomplete requests and keep the connection open.
     PeersStall,
-    /// Peers send what is no request, and much of it.
+    /// Peers send large amounts of data that is no valid request.
     PeersGarbage,
-    /// Clients submit messages again under ids that have ended.
+    /// Clients submit messages again under the same id, most of them after the message has ended.
     ClientsReplay,
 }
 
-/// When a fault is on, and where.
+/// A fault with its time and its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// From when on, counted from the start of the load.
-    pub from: Duration,
-    /// For how long. Faults of a process come once, at its beginning.
-    pub lasts: Duration,
-    /// The senders or endpoints that it concerns, by number, modulo how many there are.
+    /// Time from the start of the load to the beginning of the fault.
+    pub start_offset: Duration,
+    /// How long the fault lasts. Process events occur once, at the beginning.
+    pub duration: Duration,
+    /// Numbers of the affected senders or endpoints, each taken modulo their count.
     pub targets: Vec<usize>,
-    /// How often calls fail, of ten thousand.
+    /// How many of ten thousand system calls fail. Other kinds of faults derive a delay or a variant from it.
     pub rate: u32,
 }
 
-/// All faults of a seed.
+/// The faults of one seed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The seed.
+    /// Seed that the plan was drawn from.
     pub seed: u64,
-    /// The faults, by their beginning.
+    /// The faults in the order of their beginning.
     pub faults: Vec<Fault>,
 }
 
-/// Load runs for so long before the first fault.
-const QUIET_START: f64 = 1.5;
-/// Faults begin up to this time.
-const LAST_START: f64 = 9.0;
-/// All faults are over by this time.
+/// Earliest beginning of a drawn fault, in seconds after the start of the load.
+const FIRST_START_SECONDS: f64 = 1.5;
+/// Latest beginning of a drawn fault, in seconds after the start of the load.
+const LAST_START_SECONDS: f64 = 9.0;
+/// Time after the start of the load by which drawn faults have ended. An added restart begins at this time
+/// at the latest.
 pub const FAULTS_END: Duration = Duration::from_millis(12_500);
-/// Fewest kinds that one seed plays, beside what they need to show.
+/// Minimum number of kinds drawn for one seed, without restarts that are added.
 const MIN_KINDS: usize = 2;
-/// Most kinds that one seed usually plays.
-pub const USUAL_MAX_KINDS: usize = 5;
-/// The chance that a seed has a process fault whatever else it draws.
+/// Default for the maximum number of kinds drawn for one seed.
+pub const DEFAULT_MAX_KINDS: usize = 5;
+/// Probability that a restart is added to a plan without one, and after a fault that affects a restart.
 const RESTART_CHANCE: f64 = 0.75;
+/// Rates that are drawn for faults, of ten thousand system calls.
 const RATES: [u32; 5] = [200, 500, 1_000, 2_000, 4_000];
 
 impl FaultKind {
-    /// Whether the fault concerns what one process leaves to the next.
+    /// Whether the fault affects the state that a process leaves to the next one, or the start of that one.
     #[must_use]
-    pub fn shows_at_a_restart(self) -> bool {
+    pub fn affects_restart(self) -> bool {
         use FaultKind::{
             DiskFalseFailures, DiskNames, DiskReads, DiskTornWrites, DiskWrites, Sockets, WallClockBack,
             WallClockForward, WallClockSeconds,
@@ -136,9 +138,9 @@
         kinds.contains(&self)
     }
 
-    /// Whether the fault is a single event of a process.
+    /// Whether the fault is a single event of the processes of a sender, not a condition that lasts.
     #[must_use]
-    pub fn is_of_process(self) -> bool {
+    pub fn is_process_event(self) -> bool {
         use FaultKind::{
             Kill, KillTwice, Pause, Reload, Terminate, TornReload, Upgrade, UpgradeCrossed, UpgradeDies,
         };
@@ -149,7 +151,7 @@
 }
 
 impl Plan {
-    /// Draws the plan of a seed out of these kinds, of which it plays so many at most.
+    /// Draws the plan of a seed from `kinds`, with at most `max_kinds` of them before restarts are added.
     #[must_use]
     pub fn draw(seed: u64, kinds: &[FaultKind], max_kinds: usize) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
@@ -167,19 +169,19 @@
             let times = random.usize(1..=2);
             for _ in 0..times {
                 let fault = Fault::draw(kind, &mut random);
-                // What is in the folder, and what time it is, matters to the next process.
-                if kind.shows_at_a_restart() && random.f64() < RESTART_CHANCE {
+                // The state folder and the clock mostly matter to the next process, so it should start soon.
+                if kind.affects_restart() && random.f64() < RESTART_CHANCE {
                     let restart = random.choice(&possible);
                     faults.extend(restart.map(|kind| fault.followed_by(*kind, &mut random)));
                 }
                 faults.push(fault);
             }
         }
-        faults.sort_by_key(|fault| fault.from);
+        faults.sort_by_key(|fault| fault.start_offset);
         Self { seed, faults }
     }
 
-    /// The kinds that the plan holds.
+    /// Returns the kinds of faults in the plan, each of them once.
     #[must_use]
     pub fn kinds(&self) -> Vec<FaultKind> {
         let mut kinds: Vec<_> = self.faults.iter().map(|fault| fault.kind).collect();
@@ -188,7 +190,7 @@
         kinds
     }
 
-    /// The same plan without one kind.
+    /// Returns the same plan without the faults of one kind.
     #[must_use]
     pub fn without(&self, kind: FaultKind) -> Self {
         let faults = self.faults.iter().filter(|fault| fault.kind != kind).cloned().collect();
@@ -198,14 +200,14 @@
 
 impl Fault {
     fn draw(kind: FaultKind, random: &mut fastrand::Rng) -> Self {
-        let from = QUIET_START + random.f64() * (LAST_START - QUIET_START);
-        let longest = FAULTS_END.as_secs_f64() - from;
-        let lasts = (0.5 + random.f64() * 4.5).min(longest);
+        let start_offset = FIRST_START_SECONDS + random.f64() * (LAST_START_SECONDS - FIRST_START_SECONDS);
+        let longest = FAULTS_END.as_secs_f64() - start_offset;
+        let duration = (0.5 + random.f64() * 4.5).min(longest);
         let count = random.usize(1..=10);
         Self {
             kind,
-            from: Duration::from_secs_f64(from),
-            lasts: Duration::from_secs_f64(lasts),
+            start_offset: Duration::from_secs_f64(start_offset),
+            duration: Duration::from_secs_f64(duration),
             targets: (0..count).map(|_| random.usize(0..64)).collect(),
             rate: RATES[random.usize(0..RATES.len())],
         }
@@ -213,10 +215,11 @@
 }
 
 impl Fault {
-    /// A fault of the same senders within this one or shortly after it.
+    /// Returns a fault of another kind on the same senders, which begins during this fault or shortly after
+    /// it.
     fn followed_by(&self, kind: FaultKind, random: &mut fastrand::Rng) -> Self {
-        let from = self.from + self.lasts.mul_f64(random.f64() * 1.2);
-        Self { kind, from: from.min(FAULTS_END), ..self.clone() }
+        let start_offset = self.start_offset + self.duration.mul_f64(random.f64() * 1.2);
+        Self { kind, start_offset: start_offset.min(FAULTS_END), ..self.clone() }
     }
 }
 
@@ -225,9 +228,9 @@
         for fault in &self.faults {
             writeln!(
                 formatter,
-                "  {:6.2} s for {:4.2} s  {:?} at {:?}, rate {}",
-                fault.from.as_secs_f64(),
-                fault.lasts.as_secs_f64(),
+                "  {:6.2} s for {:4.2} s  {:?}, targets {:?}, rate {}",
+                fault.start_offset.as_secs_f64(),
+                fault.duration.as_secs_f64(),
                 fault.kind,
                 fault.targets,
                 fault.rate
--- a/crates/fault-soak/src/planted.rs
+++ b/crates/fault-soak/src/planted.rs
@@ -1,58 +1,58 @@
-//! Mistakes that are planted on purpose, by which the oracle proves that it sees them.
+//! Defects that are planted on purpose, to test that the oracle detects them.
 //!
-//! Some are made by the surroundings while a seed plays; the others falsify what was seen, as a sender that
-//! makes them would have caused it.
+//! Some are applied to the environment while a seed runs. The others alter the records after the run, to what
+//! a sender with the defect would have caused.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use clap::ValueEnum;
 
-use crate::history::{Answer, EndpointCall, Records, Reply, Told};
+use crate::history::{EndpointCall, Records, Reply, StatusUpdate, SubmitResult};
 use crate::settings::{Class, IDEMPOTENCY_WINDOW_MS};
 
-/// Into the load, the planted drain is told.
-const PLANTED_DRAIN: Duration = Duration::from_millis(500);
-/// Every how many records one is falsified.
-const STEP: usize = 50;
+/// Time from the first call to the planted drain.
+const DRAIN_DELAY: Duration = Duration::from_millis(500);
+/// Of this many messages, one gets an altered result.
+const SAMPLE_INTERVAL: usize = 50;
 
-/// A planted mistake: the seed must go red.
+/// A planted defect, with which a seed must fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Plant {
-    /// Writes to the folder are reported as done and are not.
+pub enum PlantedDefect {
+    /// Some writes to files are not done, but reported as successful.
     LyingDisk,
-    /// Notices are acknowledged and forgotten.
+    /// Notices are acknowledged, but not recorded.
     SwallowedNotices,
-    /// Each tenth call is made twice.
+    /// Every tenth call is made twice.
     RepeatedCalls,
-    /// A drain that was told is not heeded.
+    /// An endpoint that is listed as draining still gets calls.
     UnheededDrain,
-    /// Connections of clients break after their request.
+    /// Some connections of clients are closed without a response to their first request.
     BrokenClients,
-    /// Messages of a key go in another order.
+    /// Messages with an order key are sent in the wrong order.
     OtherOrder,
-    /// A repeat under an idempotency key comes after its window.
+    /// A call is repeated under its idempotency key after the idempotency window.
     LateRepeat,
-    /// A call is made within a wait that was told.
+    /// Calls are made to a destination within the retry delay that it gave.
     UnheededWait,
-    /// Messages are sent although they were refused.
+    /// Some messages are sent although they were refused.
     SentRefused,
-    /// A call goes to another destination.
+    /// A call goes to the wrong destination.
     OtherDestination,
 }
 
-impl Plant {
-    /// Falsifies what was seen, for a mistake that is not made while the seed plays.
-    pub fn falsify(self, records: &mut Records) {
+impl PlantedDefect {
+    /// Alters the records for a defect that is not applied while the seed runs.
+    pub fn apply(self, records: &mut Records) {
         match self {
             Self::LyingDisk | Self::SwallowedNotices => {}
-            Self::RepeatedCalls => repeat_calls(records),
-            Self::UnheededDrain => tell_drain(records),
-            Self::BrokenClients => set_answers(records, Answer::Closed { is_fresh: true }),
-            Self::SentRefused => set_answers(records, Answer::Refused),
+            Self::RepeatedCalls => duplicate_calls(records),
+            Self::UnheededDrain => drain_busiest_endpoint(records),
+            Self::BrokenClients => set_results(records, SubmitResult::Closed { is_fresh: true }),
+            Self::SentRefused => set_results(records, SubmitResult::Refused),
             Self::OtherOrder => reverse_order(records),
-            Self::LateRepeat => repeat_late(records),
-            Self::UnheededWait => call_within_wait(records),
+            Self::LateRepeat => repeat_after_window(records),
+            Self::UnheededWait => call_before_retry_after(records),
             Self::OtherDestination => {
                 if let Some(call) = records.calls.first_mut() {
                     call.destination += 1;
@@ -62,7 +62,7 @@
     }
 }
 
-fn repeat_calls(records: &mut Records) {
+fn duplicate_calls(records: &mut Records) {
     let twice: Vec<EndpointCall> = records.calls.iter().step_by(10).cloned().collect();
     records.calls.extend(twice.into_iter().map(|call| {
         let arrived_at = call.arrived_at + Duration::from_millis(20);
@@ -70,8 +70,8 @@
     }));
 }
 
-/// The endpoint that the first sender calls most is told to drain early in the load.
-fn tell_drain(records: &mut Records) {
+/// Records that the first sender was told, early in the load, to drain the endpoint that it calls most.
+fn drain_busiest_endpoint(records: &mut Records) {
     let sender = 0;
     let is_own = |call: &&EndpointCall| {
         records.messages.get(&call.call_id).is_some_and(|message| message.sender == sender)
@@ -82,27 +82,27 @@
     }
     let busiest = calls.into_iter().max_by_key(|(_, count)| *count);
     let (Some((endpoint, _)), Some(first)) = (busiest, records.calls.first()) else { return };
-    let at = first.first_byte_at + PLANTED_DRAIN;
-    records.told.retain(|told| told.endpoint != endpoint || told.sender != sender);
-    records.told.push(Told { sender, endpoint, is_up: false, at });
+    let at = first.first_byte_at + DRAIN_DELAY;
+    records.status_updates.retain(|update| update.endpoint != endpoint || update.sender != sender);
+    records.status_updates.push(StatusUpdate { sender, endpoint, is_up: false, at });
 }
 
-fn set_answers(records: &mut Records, answer: Answer) {
-    for message in records.messages.values_mut().step_by(STEP) {
-        let at = message.answer.map_or(message.submitted_at, |(_, at)| at);
-        message.answer = Some((answer, at));
+fn set_results(records: &mut Records, result: SubmitResult) {
+    for message in records.messages.values_mut().step_by(SAMPLE_INTERVAL) {
+        let at = message.result.map_or(message.submitted_at, |(_, at)| at);
+        message.result = Some((result, at));
     }
 }
 
 fn reverse_order(records: &mut Records) {
     for message in records.messages.values_mut() {
-        if let Some((_, place)) = &mut message.order {
-            *place = u64::MAX - *place;
+        if let Some((_, position)) = &mut message.order {
+            *position = u64::MAX - *position;
         }
     }
 }
 
-fn repeat_late(records: &mut Records) {
+fn repeat_after_window(records: &mut Records) {
     let is_keyed = |call: &&EndpointCall| {
         let message = records.messages.get(&call.call_id);
         message.is_some_and(|message| message.class == Class::Keyed) && call.may_have_run()
@@ -113,8 +113,8 @@
     records.calls.push(EndpointCall { first_byte_at, arrived_at, ..call });
 }
 
-/// A call of its own in the middle of each tenth wait, so that no restart near one of them hides it.
-fn call_within_wait(records: &mut Records) {
+/// Adds calls 100 ms before the end of many retry delays, as a restart near one of them hides its violation.
+fn call_before_retry_after(records: &mut Records) {
     let long_wait = Duration::from_millis(600);
     let mut early = Vec::new();
     for call in records.calls.iter().step_by(2) {
--- a/crates/fault-soak/src/process.rs
+++ b/crates/fault-soak/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a sender: signals to it, its end, and what it answers operators.
+//! One process of a sender: signals, its end, and requests to its management address.
 
 use std::net::SocketAddr;
 use std::process::Child;
@@ -15,36 +15,37 @@
 use crate::history::History;
 use crate::http::read_message;
 
-const PROBE_LIMIT: Duration = Duration::from_millis(400);
+/// Time limit for a request to the management address.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A process of a sender.
 pub(crate) struct Process {
-    /// Its id.
+    /// Process id.
     pub pid: Pid,
-    /// Set before a signal that ends it.
-    pub may_end: Arc<AtomicBool>,
-    /// Whether it has ended.
+    /// Whether the process may end: set before it gets a signal that ends it.
+    pub is_end_expected: Arc<AtomicBool>,
+    /// Whether the process has ended.
     pub ended: watch::Receiver<bool>,
-    /// Where operators call it.
+    /// Management address of the process.
     pub management: SocketAddr,
 }
 
 impl Process {
-    /// Sends it a signal, unless it has ended.
+    /// Sends the process a signal, unless it is known to have ended.
     pub fn signal(&self, signal: Signal) {
         if !*self.ended.borrow() {
-            // It may have ended since.
+            // Fails if the process has ended since the check.
             let _ = kill_process(self.pid, signal);
         }
     }
 
-    /// SIGKILL.
+    /// Sends SIGKILL.
     pub fn kill(&self) {
-        self.may_end.store(true, Ordering::Relaxed);
+        self.is_end_expected.store(true, Ordering::Relaxed);
         self.signal(Signal::KILL);
     }
 
-    /// Waits for its end; whether that came in time.
+    /// Waits for the end of the process; returns whether it ended within the limit.
     pub async fn wait_for_end(&self, limit: Duration) -> bool {
         let mut ended = self.ended.clone();
         let has_ended =
@@ -56,36 +57,36 @@
 /// Sends a signal to all of these processes.
 pub(crate) fn signal_processes(pids: &[Pid], signal: Signal) {
     for pid in pids {
-        // It may have ended meanwhile.
+        // Fails if the process has ended.
         let _ = kill_process(*pid, signal);
     }
 }
 
-/// Waits for a process's end; one that nobody asked for is a crash.
+/// Waits for the end of a process, and records an incident if the end was not expected.
 pub(crate) async fn watch_end(
     mut child: Child,
     ended: watch::Sender<bool>,
-    may_end: Arc<AtomicBool>,
+    is_end_expected: Arc<AtomicBool>,
     history: Arc<History>,
     sender: usize,
 ) {
     let status = tokio::task::spawn_blocking(move || child.wait()).await;
-    if !may_end.load(Ordering::Relaxed) {
-        history.incident(sender, format!("ended by itself: {status:?}"));
+    if !is_end_expected.load(Ordering::Relaxed) {
+        history.record_incident(sender, format!("ended unexpectedly: {status:?}"));
     }
     ended.send_replace(true);
 }
 
-/// Fetches a page on a new connection: its status and body.
+/// Sends a GET request on a new connection and returns the status and body of the response.
 pub(crate) async fn fetch(address: SocketAddr, path: &str) -> Option<(u16, String)> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes()).await.ok()?;
         let mut reader = BufReader::new(stream);
-        let answer = read_message(&mut reader).await.ok()??;
+        let response = read_message(&mut reader).await.ok()??;
         let mut rest = String::new();
         let _ = reader.read_to_string(&mut rest).await;
-        Some((answer.status(), String::from_utf8_lossy(&answer.body).into_owned() + &rest))
+        Some((response.status(), String::from_utf8_lossy(&response.body).into_owned() + &rest))
     };
-    timeout(PROBE_LIMIT, exchange).await.ok()?
+    timeout(FETCH_TIMEOUT, exchange).await.ok()?
 }
--- a/crates/fault-soak/src/sender.rs
+++ b/crates/fault-soak/src/sender.rs
@@ -1,4 +1,4 @@
-//! A sender under test: its folder, configuration and processes.
+//! A sender under test: its folder, its configuration and its processes.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -19,34 +19,37 @@
 use crate::settings::MAX_DESCRIPTORS;
 use crate::shim::{ControlFile, LIBRARY};
 
-/// A start that takes longer fails a version.
-const READY_LIMIT: Duration = Duration::from_secs(10);
-/// A process that was told to end has so long.
-const END_LIMIT: Duration = Duration::from_millis(3_700);
-/// Between the end of a process and the start of the next.
-const RESTART_PAUSE: Duration = Duration::from_millis(600);
-const PROBE_PAUSE: Duration = Duration::from_millis(20);
+/// A start that takes longer is recorded as an incident.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for a process to end after a signal; after SIGTERM, SIGKILL follows.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// Time between the end of a process and the start of the next one.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// Time between two checks whether a process is ready.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Port for clients.
 const CLIENT_PORT: u16 = 3_000;
+/// Management port of the first process; each later process gets the next port.
 const MANAGEMENT_PORT: u16 = 3_100;
 
-/// A sender and its processes; there are two during an upgrade.
+/// A sender and its processes, of which there are two during an upgrade.
 pub struct Sender {
-    /// Its number.
+    /// Index of the sender.
     pub index: usize,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// What fails in its processes.
+    /// Control file for the failures of system calls in its processes.
     pub control: ControlFile,
     folder: PathBuf,
     executable: PathBuf,
     processes: Mutex<Vec<Process>>,
-    /// Held while processes are ended and started, so that faults of one sender do not tread on each other.
+    /// Held while processes are ended and started, so that faults of one sender do not interfere.
     lifecycle: Mutex<()>,
     next_management: AtomicU16,
-    /// Pauses that have begun, and those that have ended.
+    /// Number of pauses that have begun, and number of pauses that have ended.
     pauses: [AtomicU16; 2],
     history: Arc<History>,
-    /// The log of all its processes.
+    /// Path of the log file that all its processes append to.
     pub log: PathBuf,
     seed: u64,
     log_filter: String,
@@ -54,16 +57,17 @@
 }
 
 impl Sender {
-    /// A sender without a process, in this folder. Its address is one of its own in the loopback range.
+    /// Creates a sender without a process and writes its configuration.
     ///
     /// # Errors
     ///
-    /// The folder cannot be written.
+    /// The folder or a file in it cannot be written.
     pub fn create(setup: SenderSetup) -> Result<Arc<Self>> {
         let SenderSetup { index, address, folder, executable, history, seed, log_filter, configuration } =
             setup;
-        fs::create_dir_all(folder.join("state")).context("state folder")?;
-        let control = ControlFile::create(&folder.join("faults")).context("control file")?;
+        fs::create_dir_all(folder.join("state")).context("cannot create the state folder")?;
+        let control =
+            ControlFile::create(&folder.join("faults")).context("cannot create the control file")?;
         let sender = Self {
             index,
             address,
@@ -84,7 +88,8 @@
         Ok(Arc::new(sender))
     }
 
-    /// The address that a sender of this number listens at, in a run of this number.
+    /// Returns the address for clients of the sender with this index in the run with this number. Each sender
+    /// has a loopback address of its own.
     #[must_use]
     pub fn address_of(run: u8, index: usize) -> SocketAddr {
         SocketAddr::from(([127, 10, run, index as u8 + 1], CLIENT_PORT))
@@ -105,10 +110,10 @@
         Ok(())
     }
 
-    /// Starts a process and waits until it is ready.
+    /// Starts a process and waits until it is ready or has ended.
     pub async fn start(&self) {
         if let Err(error) = self.try_start().await {
-            self.history.incident(self.index, format!("start: {error:#}"));
+            self.history.record_incident(self.index, format!("a process cannot be started: {error:#}"));
         }
     }
 
@@ -136,30 +141,36 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .context("the sender cannot be started")?;
-        let pid = Pid::from_raw(child.id() as i32).context("no process id")?;
+            .context("the executable cannot be run")?;
+        let pid = Pid::from_raw(child.id() as i32).context("invalid process id")?;
         let (ended_sender, ended) = watch::channel(false);
-        let may_end = Arc::new(AtomicBool::new(false));
-        tokio::spawn(watch_end(child, ended_sender, may_end.clone(), self.history.clone(), self.index));
-        self.processes.lock().await.push(Process { pid, may_end, ended, management });
+        let is_end_expected = Arc::new(AtomicBool::new(false));
+        tokio::spawn(watch_end(
+            child,
+            ended_sender,
+            is_end_expected.clone(),
+            self.history.clone(),
+            self.index,
+        ));
+        self.processes.lock().await.push(Process { pid, is_end_expected, ended, management });
         Ok(management)
     }
 
-    /// Waits until the process with this management address is the sender.
+    /// Waits until the process with this management address is ready or has ended, for 10 s at most.
     async fn await_ready(&self, management: SocketAddr) {
         let started = Instant::now();
-        while started.elapsed() < READY_LIMIT {
-            if fetch(management, "/status").await.is_some_and(|answer| answer.0 == 200) {
-                self.history.process(self.index, ProcessEvent::Ready);
+        while started.elapsed() < READY_TIMEOUT {
+            if fetch(management, "/status").await.is_some_and(|response| response.0 == 200) {
+                self.history.record_process_event(self.index, ProcessEvent::Ready);
                 return;
             }
             if self.is_ended(management).await {
                 return;
             }
-            sleep(PROBE_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        self.history.incident(self.index, "not ready within 10 s");
-        self.history.process(self.index, ProcessEvent::Ready);
+        self.history.record_incident(self.index, "not ready within 10 s");
+        self.history.record_process_event(self.index, ProcessEvent::Ready);
     }
 
     async fn is_ended(&self, management: SocketAddr) -> bool {
@@ -172,96 +183,99 @@
         processes.drain(..).filter(|process| !*process.ended.borrow()).collect()
     }
 
-    /// Kills all processes.
+    /// Kills all processes and waits for their end.
     pub async fn kill(&self) {
-        self.history.process(self.index, ProcessEvent::Ending);
+        self.history.record_process_event(self.index, ProcessEvent::Ending);
         for process in self.take_processes().await {
             process.kill();
-            process.wait_for_end(END_LIMIT).await;
+            process.wait_for_end(TERMINATION_TIMEOUT).await;
         }
     }
 
-    /// Kills all processes and starts one after a pause.
+    /// Kills all processes and starts a new one 0.6 s later.
     pub async fn kill_and_start(&self) {
         let _lifecycle = self.lifecycle.lock().await;
         self.kill().await;
-        sleep(RESTART_PAUSE).await;
+        sleep(RESTART_DELAY).await;
         self.start().await;
     }
 
-    /// Kills all processes, and the one that is started next some time later, ready or not.
+    /// Kills all processes, starts one, kills it after the time `after`, ready or not, and starts another
+    /// one.
     pub async fn kill_twice_and_start(&self, after: Duration) {
         let _lifecycle = self.lifecycle.lock().await;
         self.kill().await;
-        sleep(RESTART_PAUSE).await;
+        sleep(RESTART_DELAY).await;
         if let Err(error) = self.spawn().await {
-            self.history.incident(self.index, format!("start: {error:#}"));
+            self.history.record_incident(self.index, format!("a process cannot be started: {error:#}"));
         }
         sleep(after).await;
         self.kill().await;
-        sleep(RESTART_PAUSE).await;
+        sleep(RESTART_DELAY).await;
         self.start().await;
     }
 
-    /// SIGTERM, and SIGKILL to what has not ended in time.
+    /// Ends all processes with SIGTERM, and with SIGKILL if they have not ended in time.
     pub async fn terminate(&self) {
-        self.history.process(self.index, ProcessEvent::Ending);
+        self.history.record_process_event(self.index, ProcessEvent::Ending);
         for process in self.take_processes().await {
-            process.may_end.store(true, Ordering::Relaxed);
-            self.end_gracefully(&process, "not ended 3.7 s after SIGTERM").await;
+            process.is_end_expected.store(true, Ordering::Relaxed);
+            self.end_gracefully(&process, "still running 3.7 s after SIGTERM").await;
         }
     }
 
-    /// SIGTERM, and SIGKILL if the process has not ended in time. One that is paused meanwhile cannot.
+    /// Sends SIGTERM, and SIGKILL if the process has not ended in time. That is an incident unless the sender
+    /// was paused meanwhile, as a paused process cannot end.
     async fn end_gracefully(&self, process: &Process, incident: &str) {
         let pauses_before = self.pauses[1].load(Ordering::Relaxed);
         process.signal(Signal::TERM);
-        if process.wait_for_end(END_LIMIT).await {
+        if process.wait_for_end(TERMINATION_TIMEOUT).await {
             return;
         }
         if self.pauses[0].load(Ordering::Relaxed) == pauses_before {
-            self.history.incident(self.index, incident);
+            self.history.record_incident(self.index, incident);
         }
         process.kill();
-        process.wait_for_end(END_LIMIT).await;
+        process.wait_for_end(TERMINATION_TIMEOUT).await;
     }
 
-    /// SIGTERM, and a start after the end.
+    /// Ends all processes as [`Self::terminate`] does, and starts a new one 0.6 s later.
     pub async fn terminate_and_start(&self) {
         let _lifecycle = self.lifecycle.lock().await;
         self.terminate().await;
-        sleep(RESTART_PAUSE).await;
+        sleep(RESTART_DELAY).await;
         self.start().await;
     }
 
-    /// Starts a successor, which takes over; the predecessor is told to end once it has.
+    /// Starts a successor, which takes over; once it is ready, the predecessor gets SIGTERM.
     pub async fn upgrade(&self) {
         let _lifecycle = self.lifecycle.lock().await;
-        self.history.process(self.index, ProcessEvent::Upgrading);
+        self.history.record_process_event(self.index, ProcessEvent::Upgrading);
         let predecessors = self.take_processes().await;
         for process in &predecessors {
-            process.may_end.store(true, Ordering::Relaxed);
+            process.is_end_expected.store(true, Ordering::Relaxed);
         }
         self.start().await;
         for process in predecessors {
-            self.end_gracefully(&process, "predecessor not ended 3.7 s after SIGTERM").await;
+            self.end_gracefully(&process, "predecessor still running 3.7 s after SIGTERM").await;
         }
     }
 
-    /// Starts a successor and kills it after a moment: the predecessor, told to end or not, or else a
-    /// process that is started anew, has the work.
-    pub async fn upgrade_dies(&self, after: Duration, is_predecessor_told_to_end: bool) {
+    /// Starts a successor and kills it after the time `after`. With `terminate_predecessor`, the predecessor
+    /// gets SIGTERM half-way, and a new process is started after its end. Otherwise the predecessor
+    /// continues, or a new process is started if the predecessor has ended.
+    pub async fn upgrade_and_kill_successor(&self, after: Duration, terminate_predecessor: bool) {
         let _lifecycle = self.lifecycle.lock().await;
-        self.history.process(self.index, ProcessEvent::Ending);
+        self.history.record_process_event(self.index, ProcessEvent::Ending);
         let predecessors = self.take_processes().await;
         for process in &predecessors {
-            process.may_end.store(true, Ordering::Relaxed);
+            process.is_end_expected.store(true, Ordering::Relaxed);
         }
         if let Err(error) = self.spawn().await {
-            self.history.incident(self.index, format!("start: {error:#}"));
+            self.history.record_incident(self.index, format!("a process cannot be started: {error:#}"));
         }
         sleep(after / 2).await;
-        if is_predecessor_told_to_end {
+        if terminate_predecessor {
             for process in &predecessors {
                 process.signal(Signal::TERM);
             }
@@ -269,43 +283,43 @@
         sleep(after / 2).await;
         for successor in self.take_processes().await {
             successor.kill();
-            successor.wait_for_end(END_LIMIT).await;
+            successor.wait_for_end(TERMINATION_TIMEOUT).await;
         }
-        if is_predecessor_told_to_end {
+        if terminate_predecessor {
             for process in predecessors {
-                self.end_gracefully(&process, "predecessor not ended 3.7 s after SIGTERM").await;
+                self.end_gracefully(&process, "predecessor still running 3.7 s after SIGTERM").await;
             }
-            sleep(RESTART_PAUSE).await;
+            sleep(RESTART_DELAY).await;
             return self.start().await;
         }
-        self.resume_predecessors(predecessors).await;
+        self.restore_predecessors(predecessors).await;
     }
 
-    async fn resume_predecessors(&self, predecessors: Vec<Process>) {
+    async fn restore_predecessors(&self, predecessors: Vec<Process>) {
         let managements: Vec<_> = predecessors.iter().map(|process| process.management).collect();
         for process in &predecessors {
-            process.may_end.store(false, Ordering::Relaxed);
+            process.is_end_expected.store(false, Ordering::Relaxed);
         }
         self.processes.lock().await.extend(predecessors);
         for management in managements {
             self.await_ready(management).await;
-            // It had handed over, and had nothing left to relay.
+            // The predecessor ended because it had handed over and had nothing left to relay.
             if self.is_ended(management).await {
-                sleep(RESTART_PAUSE).await;
+                sleep(RESTART_DELAY).await;
                 self.start().await;
             }
         }
     }
 
-    /// Suspends all processes for some time.
-    pub async fn pause(&self, lasts: Duration) {
+    /// Suspends all processes for this time.
+    pub async fn pause(&self, duration: Duration) {
         self.pauses[0].fetch_add(1, Ordering::Relaxed);
-        self.history.process(self.index, ProcessEvent::Paused);
+        self.history.record_process_event(self.index, ProcessEvent::Paused);
         let pids: Vec<Pid> = self.processes.lock().await.iter().map(|process| process.pid).collect();
         signal_processes(&pids, Signal::STOP);
-        sleep(lasts).await;
+        sleep(duration).await;
         signal_processes(&pids, Signal::CONT);
-        self.history.process(self.index, ProcessEvent::Resumed);
+        self.history.record_process_event(self.index, ProcessEvent::Resumed);
         self.pauses[1].fetch_add(1, Ordering::Relaxed);
     }
 
@@ -313,15 +327,16 @@
         self.processes.lock().await.iter().for_each(|process| process.signal(signal));
     }
 
-    /// Moves discovery to another address, with SIGHUP.
+    /// Writes another address of discovery to the configuration file and sends SIGHUP.
     pub async fn reload(&self, discovery: SocketAddr) {
         if let Err(error) = self.write_configuration(Some(discovery)) {
-            self.history.incident(self.index, format!("configuration: {error:#}"));
+            self.history
+                .record_incident(self.index, format!("the configuration file cannot be written: {error:#}"));
         }
         self.signal_all(Signal::HUP).await;
     }
 
-    /// As [`Self::reload`], but the signal comes while the file is half written.
+    /// Like [`Self::reload`], but SIGHUP is sent while the file is half written, 0.3 s before it is complete.
     pub async fn reload_torn(&self, discovery: SocketAddr) {
         let path = self.configuration_path();
         let whole = fs::read(&path).unwrap_or_default();
@@ -329,11 +344,12 @@
         self.signal_all(Signal::HUP).await;
         sleep(Duration::from_millis(300)).await;
         if let Err(error) = self.write_configuration(Some(discovery)) {
-            self.history.incident(self.index, format!("configuration: {error:#}"));
+            self.history
+                .record_incident(self.index, format!("the configuration file cannot be written: {error:#}"));
         }
     }
 
-    /// What the running process counts under this name.
+    /// Reads a metric of the process that was started last.
     pub async fn metric(&self, name: &str) -> Option<u64> {
         let management = self.processes.lock().await.last()?.management;
         let (_, text) = fetch(management, "/status/metrics").await?;
@@ -342,30 +358,30 @@
         line.split('|').next()?.parse().ok()
     }
 
-    /// Descriptors that the running process has open.
+    /// Returns the number of file descriptors that the process that was started last has open.
     pub async fn open_descriptors(&self) -> Option<usize> {
         let pid = self.processes.lock().await.last()?.pid.as_raw_nonzero();
         Some(fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
     }
 }
 
-/// What a sender is made of.
+/// Parameters of a new sender.
 pub struct SenderSetup {
-    /// Its number.
+    /// Index of the sender.
     pub index: usize,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// A folder of its own.
+    /// Folder for its configuration, state, log and control file.
     pub folder: PathBuf,
-    /// The program.
+    /// Path of the sender executable.
     pub executable: PathBuf,
-    /// Where what happens to it is recorded.
+    /// History for its process events and incidents.
     pub history: Arc<History>,
-    /// Seed of the faults in it.
+    /// Seed for the random choices of the library in its processes.
     pub seed: u64,
     /// `RUST_LOG` of its processes.
     pub log_filter: String,
-    /// Its configuration.
+    /// Content of its configuration file.
     pub configuration: Value,
 }
 
@@ -377,13 +393,13 @@
     }
 }
 
-/// The program, beside the running one in the build's folder.
+/// Finds the sender executable in the folder of the running program or the folder above it.
 ///
 /// # Errors
 ///
-/// It is not there.
+/// It is in neither folder.
 pub fn find_executable() -> Result<PathBuf> {
-    let own = std::env::current_exe().context("the path of this program")?;
+    let own = std::env::current_exe().context("cannot determine the path of this program")?;
     let beside = |folder: &Path| folder.join("message-sender");
     let candidates = own.ancestors().skip(1).take(2).map(beside);
     let found = candidates.into_iter().find(|path| path.is_file());
--- a/crates/fault-soak/src/settings.rs
+++ b/crates/fault-soak/src/settings.rs
@@ -1,32 +1,32 @@
-//! The deployment that the soak plays: its classes, destinations and limits, as a sender is told them.
+//! The deployment that is tested: the classes, destinations and limits in the configuration of its senders.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// How long the idempotency key of a message is known.
+/// Idempotency window, in milliseconds.
 pub const IDEMPOTENCY_WINDOW_MS: u64 = 6_000;
-/// New attempts to a draining endpoint must have ceased after this time.
+/// Time after which a draining endpoint gets no new attempts, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 300;
-/// The longest time that a message may take.
+/// Longest time to the deadline of a message, in milliseconds.
 pub const DEADLINE_MS: u64 = 8_000;
-/// Descriptors of a sender.
+/// Limit of open file descriptors of a sender.
 pub const MAX_DESCRIPTORS: usize = 256;
-/// Destinations, numbered from 1.
+/// Number of destinations, which are numbered from 1.
 pub const DESTINATIONS: u64 = 3;
-/// Endpoints of each destination.
+/// Number of endpoints of each destination.
 pub const ENDPOINTS_PER_DESTINATION: u64 = 2;
 
 /// A class of messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// Repeated under an idempotency key.
+    /// May be repeated under its idempotency key.
     Keyed,
-    /// Never repeated once it may have taken effect.
+    /// Must not be repeated once it may have taken effect.
     Once,
-    /// Repeated without more ado.
+    /// May be repeated without restriction.
     Pure,
-    /// Repeated under an idempotency key, in order of its key.
+    /// May be repeated under its idempotency key; sent in the order of its order key.
     Ordered,
 }
 
@@ -34,7 +34,7 @@
     /// All classes.
     pub const ALL: [Self; 4] = [Self::Keyed, Self::Once, Self::Pure, Self::Ordered];
 
-    /// Its name in the settings.
+    /// Returns its name in the settings.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The configuration file of one sender.
+/// Returns the content of the configuration file of one sender.
 #[must_use]
 pub fn configuration(
     name: &str,
--- a/crates/fault-soak/src/shim.rs
+++ b/crates/fault-soak/src/shim.rs
@@ -1,23 +1,26 @@
-//! Controls the library that is loaded into a sender (`shim/fault_shim.c`): which system calls fail, how
-//! often and how, and by how much the wall clock is off.
+//! Control of the library that is loaded into a sender (`shim/fault_shim.c`): which system calls fail, how
+//! often and how, and the offset of the wall clock.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// Where the compiled library lies.
+/// Path of the compiled library.
 pub const LIBRARY: &str = env!("FAULT_SHIM");
-/// A rate at which each call fails.
+/// Rate at which every call fails, of ten thousand.
 pub const ALWAYS: u32 = 10_000;
 
+/// Size of the wall clock offset at the beginning of the control file, in bytes.
 const OFFSET_BYTES: u64 = 8;
+/// Size of a rule in the control file, in bytes.
 const RULE_BYTES: u64 = 32;
+/// Maximum number of error numbers in a rule.
 const MAX_ERRNOS: usize = 4;
 
-/// A kind of system call, in the order of the library.
+/// A kind of system call. The order is that of `enum syscall` in the library.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
+pub enum Syscall {
     /// `write` to a regular file.
     WriteFile,
     /// `ftruncate`.
@@ -34,7 +37,7 @@
     Lock,
     /// `accept4`.
     Accept,
-    /// `socket`.
+    /// `socket`, `socketpair`, `epoll_create1`.
     Socket,
     /// `connect`.
     Connect,
@@ -46,7 +49,7 @@
     EpollWait,
 }
 
-impl Call {
+impl Syscall {
     const ALL: [Self; 13] = [
         Self::WriteFile,
         Self::Truncate,
@@ -64,31 +67,32 @@
     ];
 }
 
-/// How a call fails.
+/// How a system call fails, with its bit in the control file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
-    /// Nothing is done.
-    Fails = 1,
-    /// A part is done; of a write to a file, the rest then fails.
-    PartlyDone = 2,
-    /// All is done, and an error reported.
-    DoneButFailed = 4,
-    /// Nothing is done, and success reported: a planted mistake, no fault that a system has.
-    Lies = 8,
+pub enum Failure {
+    /// The call has no effect and returns an error.
+    NotDone = 1,
+    /// The call does a part of its work; after a partial write to a file, the next write to it fails.
+    Partial = 2,
+    /// The call is done, but returns an error.
+    FalseFailure = 4,
+    /// The call has no effect, but returns success. This is a planted defect, not a fault that real systems
+    /// have.
+    FalseSuccess = 8,
 }
 
-/// How often and how a kind of call fails.
+/// How often and how a kind of system call fails.
 #[derive(Debug, Clone)]
-pub struct Rule {
+pub struct FailureRule {
     /// How many of ten thousand calls fail.
     pub rate: u32,
-    /// One of these is drawn for each.
-    pub modes: Vec<Mode>,
-    /// One of these error numbers is drawn.
+    /// Possible kinds of failure, one of which is drawn for each failing call.
+    pub modes: Vec<Failure>,
+    /// Possible error numbers, of which the first four are used and one is drawn for each error.
     pub errnos: Vec<i32>,
 }
 
-/// The control file of one sender, which its processes share.
+/// The control file of one sender, which all its processes map into their memory.
 #[derive(Debug)]
 pub struct ControlFile {
     path: PathBuf,
@@ -96,38 +100,38 @@
 }
 
 impl ControlFile {
-    /// Creates a file by which nothing fails.
+    /// Creates a control file without any failures.
     ///
     /// # Errors
     ///
-    /// What the file system says.
+    /// The file cannot be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        file.set_len(OFFSET_BYTES + RULE_BYTES * Call::ALL.len() as u64)?;
+        file.set_len(OFFSET_BYTES + RULE_BYTES * Syscall::ALL.len() as u64)?;
         Ok(Self { path: path.to_owned(), file })
     }
 
-    /// Where it lies.
+    /// Path of the file.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Shifts the wall clock by so many microseconds against the system's.
+    /// Sets the offset of the wall clock from the clock of the system, in microseconds.
     ///
     /// # Errors
     ///
-    /// What the file system says.
+    /// The file cannot be written.
     pub fn set_wall_offset(&self, micros: i64) -> io::Result<()> {
         self.file.write_all_at(&micros.to_le_bytes(), 0)
     }
 
-    /// Sets the rule of a kind of call.
+    /// Sets the rule of a kind of system call.
     ///
     /// # Errors
     ///
-    /// What the file system says.
-    pub fn set(&self, call: Call, rule: &Rule) -> io::Result<()> {
+    /// The file cannot be written.
+    pub fn set(&self, call: Syscall, rule: &FailureRule) -> io::Result<()> {
         let modes = rule.modes.iter().fold(0, |bits, mode| bits | *mode as u32);
         let mut words = vec![rule.rate, modes];
         words.extend(rule.errnos.iter().take(MAX_ERRNOS).map(|errno| *errno as u32));
@@ -136,21 +140,21 @@
         self.file.write_all_at(&bytes, OFFSET_BYTES + RULE_BYTES * call as u64)
     }
 
-    /// Has a kind of call work again.
+    /// Ends the failures of a kind of system call.
     ///
     /// # Errors
     ///
-    /// What the file system says.
-    pub fn clear(&self, call: Call) -> io::Result<()> {
-        self.set(call, &Rule { rate: 0, modes: Vec::new(), errnos: Vec::new() })
+    /// The file cannot be written.
+    pub fn clear(&self, call: Syscall) -> io::Result<()> {
+        self.set(call, &FailureRule { rate: 0, modes: Vec::new(), errnos: Vec::new() })
     }
 
-    /// Has all calls work again.
+    /// Ends the failures of all system calls.
     ///
     /// # Errors
     ///
-    /// What the file system says.
+    /// The file cannot be written.
     pub fn clear_all(&self) -> io::Result<()> {
-        Call::ALL.iter().try_for_each(|call| self.clear(*call))
+        Syscall::ALL.iter().try_for_each(|call| self.clear(*call))
     }
 }
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -1,4 +1,4 @@
-//! Plays one seed from its start to its verdict.
+//! Runs the plan of one seed against real senders and reports the violations.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::Ordering;
@@ -8,99 +8,99 @@
 use anyhow::{Context, Result};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::client::{run_peers, Client, Habits};
+use crate::client::{run_peers, Client, LoadControl};
 use crate::discovery::Discovery;
 use crate::endpoint::{Behaviour, Endpoint};
 use crate::faults::Targets;
-use crate::history::{Answer, History, Message, Records};
+use crate::history::{History, Message, Records, SubmitResult};
 use crate::oracle::Oracle;
 use crate::plan::{Plan, FAULTS_END};
-use crate::planted::Plant;
+use crate::planted::PlantedDefect;
 use crate::sender::{Sender, SenderSetup};
 use crate::settings::{configuration, DEADLINE_MS, DESTINATIONS, ENDPOINTS_PER_DESTINATION};
-use crate::shim::{Call, Mode, Rule};
+use crate::shim::{Failure, FailureRule, Syscall};
 use crate::violation::Violation;
 
-/// Clients of each sender.
+/// Number of clients of each sender.
 const CLIENTS: usize = 3;
-/// Load goes on for so long after the last fault.
-const RECOVERY: Duration = Duration::from_secs(6);
-/// Of the recovery, the end in which all has to be as before the faults.
-const RECOVERED: Duration = Duration::from_secs(3);
-/// Of the messages submitted then, this share has to be accepted.
-const ACCEPTED_SHARE: f64 = 0.9;
-/// Beyond the last deadline, for the last notices and the end of restarts.
-const LAST_NOTICES: Duration = Duration::from_secs(2);
-/// Descriptors that an idle sender holds: listeners, its journal and lock, some idle connections.
+/// Time for which the load continues after the faults.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// Final part of the recovery time, in which messages must be accepted as before the faults.
+const RECOVERY_CHECK_TIME: Duration = Duration::from_secs(3);
+/// Minimum share of accepted messages among those submitted in the final part of the recovery time.
+const MIN_ACCEPTED_RATIO: f64 = 0.9;
+/// Time after the last deadline for the last notices and the end of restarts.
+const FINAL_NOTICES_GRACE: Duration = Duration::from_secs(2);
+/// Most file descriptors that an idle sender holds: listeners, journal, lock and some idle connections.
 const IDLE_DESCRIPTORS: usize = 60;
-/// Lines that a sender logs a second at most, in the mean over the run.
+/// Most log lines per second that a sender may write, averaged over the run.
 const MAX_LOG_RATE: u64 = 40;
-/// How often a descriptor count is taken before it counts as a leak.
+/// Number of descriptor counts, 250 ms apart, that must all be too high for a leak to be reported.
 const DESCRIPTOR_CHECKS: usize = 40;
 
-/// What to play.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// Number of senders.
     pub senders: usize,
-    /// The program.
+    /// Path of the sender executable.
     pub executable: PathBuf,
     /// `RUST_LOG` of the senders.
     pub log_filter: String,
-    /// Where their logs are kept if rules are broken.
+    /// Folder for copies of the logs of the senders if rules are violated.
     pub logs: Option<PathBuf>,
-    /// Planted mistakes.
-    pub plants: Vec<Plant>,
+    /// Defects that are planted in the run.
+    pub planted_defects: Vec<PlantedDefect>,
 }
 
-/// How a seed ended.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// The broken rules.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// Messages that were accepted.
+    /// Number of accepted messages.
     pub accepted: usize,
-    /// Messages that were submitted.
+    /// Number of submitted messages.
     pub submitted: usize,
-    /// Calls that arrived.
+    /// Number of calls that arrived at endpoints.
     pub calls: usize,
-    /// Violations that the senders counted themselves.
-    pub invariants: u64,
+    /// Number of invariant violations that the senders counted themselves.
+    pub invariant_violations: u64,
 }
 
-/// Plays a plan. `run` tells apart the addresses of plans that are played side by side.
+/// Runs a plan. `run_index` keeps the addresses of concurrent runs distinct.
 ///
 /// # Errors
 ///
-/// The surroundings cannot be set up.
-pub async fn play(plan: &Plan, options: &Options, run: u8) -> Result<Report> {
-    let folder = tempfile::tempdir().context("a folder for the run")?;
-    let stage = Stage::set_up(plan, options, run, folder.path()).await?;
+/// The environment of the senders cannot be set up, or logs cannot be copied.
+pub async fn run_plan(plan: &Plan, options: &Options, run_index: u8) -> Result<Report> {
+    let folder = tempfile::tempdir().context("cannot create a temporary folder")?;
+    let harness = Harness::set_up(plan, options, run_index, folder.path()).await?;
     let start = Instant::now();
-    let report = stage.play(plan, start).await;
+    let report = harness.run(plan, start).await;
     if let Some(logs) = options.logs.as_ref().filter(|_| !report.violations.is_empty()) {
-        stage.keep_logs(logs, plan.seed)?;
+        harness.save_logs(logs, plan.seed)?;
     }
     Ok(report)
 }
 
-/// Senders with all that surrounds them.
-struct Stage {
+/// The senders of a run with their simulated environment.
+struct Harness {
     history: Arc<History>,
     targets: Arc<Targets>,
-    plants: Vec<Plant>,
+    planted_defects: Vec<PlantedDefect>,
     seed: u64,
 }
 
-impl Stage {
-    async fn set_up(plan: &Plan, options: &Options, run: u8, folder: &Path) -> Result<Self> {
+impl Harness {
+    async fn set_up(plan: &Plan, options: &Options, run_index: u8, folder: &Path) -> Result<Self> {
         let history = Arc::new(History::default());
         let endpoints = start_endpoints(&history).await?;
-        let swallows_notices = options.plants.contains(&Plant::SwallowedNotices);
-        let discovery = Discovery::new(endpoints.clone(), history.clone(), swallows_notices);
+        let drops_notices = options.planted_defects.contains(&PlantedDefect::SwallowedNotices);
+        let discovery = Discovery::new(endpoints.clone(), history.clone(), drops_notices);
         let mut senders = Vec::new();
         for index in 0..options.senders {
-            let address = Sender::address_of(run, index);
+            let address = Sender::address_of(run_index, index);
             let list = discovery.entries();
             let own_discovery = discovery.listen(index).await?;
             let name = format!("n{index}");
@@ -115,31 +115,31 @@
                 configuration: configuration(&name, address, own_discovery, options.senders, &list),
             })?);
         }
-        let habits = Arc::new(Habits::default());
-        let targets = Arc::new(Targets { senders, endpoints, discovery, habits });
-        Ok(Self { history, targets, plants: options.plants.clone(), seed: plan.seed })
+        let load_control = Arc::new(LoadControl::default());
+        let targets = Arc::new(Targets { senders, endpoints, discovery, load_control });
+        Ok(Self { history, targets, planted_defects: options.planted_defects.clone(), seed: plan.seed })
     }
 
-    async fn play(&self, plan: &Plan, start: Instant) -> Report {
+    async fn run(&self, plan: &Plan, start: Instant) -> Report {
         for sender in &self.targets.senders {
             sender.start().await;
         }
-        self.plant();
+        self.apply_runtime_defects();
         let load_start = Instant::now();
         let clients = self.spawn_clients();
-        self.targets.play(plan).await;
+        self.targets.run(plan).await;
         sleep_until(load_start + FAULTS_END).await;
         let faults_end = Instant::now();
-        sleep(RECOVERY).await;
+        sleep(RECOVERY_TIME).await;
         let load_end = Instant::now();
-        self.targets.habits.stop.store(true, Ordering::Relaxed);
+        self.targets.load_control.stop.store(true, Ordering::Relaxed);
         clients.join_all().await;
-        sleep(Duration::from_millis(DEADLINE_MS) + LAST_NOTICES).await;
+        sleep(Duration::from_millis(DEADLINE_MS) + FINAL_NOTICES_GRACE).await;
         self.check_senders(start).await;
-        let invariants = self.count_invariants().await;
+        let invariant_violations = self.count_invariant_violations().await;
         self.terminate_all().await;
-        let recovered = faults_end + RECOVERY - RECOVERED;
-        tokio::task::block_in_place(|| self.judge(start, recovered, load_end, invariants))
+        let recovered = faults_end + RECOVERY_TIME - RECOVERY_CHECK_TIME;
+        tokio::task::block_in_place(|| self.build_report(start, recovered, load_end, invariant_violations))
     }
 
     async fn terminate_all(&self) {
@@ -150,12 +150,13 @@
         tasks.join_all().await;
     }
 
-    fn plant(&self) {
-        if self.plants.contains(&Plant::LyingDisk) {
-            let lies = Rule { rate: 3_000, modes: vec![Mode::Lies], errnos: Vec::new() };
+    fn apply_runtime_defects(&self) {
+        if self.planted_defects.contains(&PlantedDefect::LyingDisk) {
+            let false_success =
+                FailureRule { rate: 3_000, modes: vec![Failure::FalseSuccess], errnos: Vec::new() };
             for sender in &self.targets.senders {
-                if let Err(error) = sender.control.set(Call::WriteFile, &lies) {
-                    eprintln!("control file: {error}");
+                if let Err(error) = sender.control.set(Syscall::WriteFile, &false_success) {
+                    eprintln!("cannot write the control file: {error}");
                 }
             }
         }
@@ -164,20 +165,21 @@
     fn spawn_clients(&self) -> tokio::task::JoinSet<()> {
         let mut clients = tokio::task::JoinSet::new();
         for sender in &self.targets.senders {
-            let habits = &self.targets.habits;
+            let load_control = &self.targets.load_control;
             for number in 0..CLIENTS {
                 let seed = self.seed ^ ((sender.index * CLIENTS + number) as u64) << 32;
                 let history = self.history.clone();
-                let client = Client::new(sender.index, number, sender.address, habits.clone(), history, seed);
+                let client =
+                    Client::new(sender.index, number, sender.address, load_control.clone(), history, seed);
                 clients.spawn(client.run());
             }
             let history = self.history.clone();
-            clients.spawn(run_peers(sender.index, sender.address, habits.clone(), history, self.seed));
+            clients.spawn(run_peers(sender.index, sender.address, load_control.clone(), history, self.seed));
         }
         clients
     }
 
-    /// After the faults: no descriptors leaked, no flood of log lines.
+    /// Checks after the faults that no sender leaked descriptors, logged too many lines or panicked.
     async fn check_senders(&self, start: Instant) {
         for sender in &self.targets.senders {
             self.check_descriptors(sender).await;
@@ -185,10 +187,10 @@
             let lines = log.lines().count() as u64;
             let limit = MAX_LOG_RATE * start.elapsed().as_secs();
             if lines > limit {
-                self.history.incident(sender.index, format!("{lines} lines of log, over {limit}"));
+                self.history.record_incident(sender.index, format!("{lines} log lines, more than {limit}"));
             }
             if let Some(line) = log.lines().find(|line| line.contains("panicked")) {
-                self.history.incident(sender.index, line);
+                self.history.record_incident(sender.index, line);
             }
         }
     }
@@ -202,43 +204,49 @@
             }
             sleep(Duration::from_millis(250)).await;
         }
-        self.history.incident(sender.index, format!("{open} descriptors open when idle"));
+        self.history.record_incident(sender.index, format!("{open} file descriptors open when idle"));
     }
 
-    async fn count_invariants(&self) -> u64 {
+    async fn count_invariant_violations(&self) -> u64 {
         let mut sum = 0;
         for sender in &self.targets.senders {
             match sender.metric("invariant_violations").await {
                 Some(0) => {}
                 Some(count) => {
                     sum += count;
-                    self.history.incident(sender.index, format!("{count} invariants violated"));
+                    self.history.record_incident(sender.index, format!("{count} invariant violations"));
                 }
-                None => self.history.incident(sender.index, "no metrics"),
+                None => self.history.record_incident(sender.index, "metrics cannot be read"),
             }
         }
         sum
     }
 
-    fn judge(&self, start: Instant, recovered: Instant, load_end: Instant, invariants: u64) -> Report {
+    fn build_report(
+        &self,
+        start: Instant,
+        recovered: Instant,
+        load_end: Instant,
+        invariant_violations: u64,
+    ) -> Report {
         let mut records = self.history.records();
-        for plant in &self.plants {
-            plant.falsify(&mut records);
+        for defect in &self.planted_defects {
+            defect.apply(&mut records);
         }
-        let mut violations = Oracle::new(&records, start).judge();
+        let mut violations = Oracle::new(&records, start).find_violations();
         violations.extend(check_recovery(&records, recovered, load_end));
         let is_accepted =
-            |message: &&Message| message.answer.is_some_and(|(answer, _)| answer == Answer::Accepted);
+            |message: &&Message| message.result.is_some_and(|(result, _)| result == SubmitResult::Accepted);
         Report {
             violations,
             accepted: records.messages.values().filter(is_accepted).count(),
             submitted: records.messages.len(),
             calls: records.calls.len(),
-            invariants,
+            invariant_violations,
         }
     }
 
-    fn keep_logs(&self, logs: &Path, seed: u64) -> Result<()> {
+    fn save_logs(&self, logs: &Path, seed: u64) -> Result<()> {
         std::fs::create_dir_all(logs)?;
         for sender in &self.targets.senders {
             std::fs::copy(&sender.log, logs.join(format!("seed-{seed}-n{}.log", sender.index)))?;
@@ -250,35 +258,35 @@
 async fn start_endpoints(history: &Arc<History>) -> Result<Vec<Arc<Endpoint>>> {
     let mut endpoints = Vec::new();
     for destination in 1..=DESTINATIONS {
-        let usual = match destination {
+        let default_behaviour = match destination {
             1 => Behaviour::Healthy,
             2 => Behaviour::Flaky,
             _ => Behaviour::Limited,
         };
         for _ in 0..ENDPOINTS_PER_DESTINATION {
             let index = endpoints.len();
-            endpoints.push(Endpoint::start(index, destination, usual, history.clone()).await?);
+            endpoints.push(Endpoint::start(index, destination, default_behaviour, history.clone()).await?);
         }
     }
     Ok(endpoints)
 }
 
-/// Once the faults are over, new messages are accepted as before them.
+/// Checks that each sender accepts messages again between `from` and `to`, after the faults.
 fn check_recovery(records: &Records, from: Instant, to: Instant) -> Vec<Violation> {
     let mut violations = Vec::new();
     let senders = records.messages.values().map(|message| message.sender).max().unwrap_or(0);
     for sender in 0..=senders {
-        let answers: Vec<Answer> = records
+        let results: Vec<SubmitResult> = records
             .messages
             .values()
             .filter(|message| message.sender == sender && message.destination == 1)
             .filter(|message| message.submitted_at >= from && message.submitted_at < to)
-            .filter_map(|message| Some(message.answer?.0))
+            .filter_map(|message| Some(message.result?.0))
             .collect();
-        let accepted = answers.iter().filter(|answer| **answer == Answer::Accepted).count();
-        if (accepted as f64) < ACCEPTED_SHARE * answers.len() as f64 || answers.is_empty() {
+        let accepted = results.iter().filter(|result| **result == SubmitResult::Accepted).count();
+        if (accepted as f64) < MIN_ACCEPTED_RATIO * results.len() as f64 || results.is_empty() {
             let details =
-                format!("sender {sender}: {accepted} of {} accepted after the faults", answers.len());
+                format!("sender {sender}: {accepted} of {} accepted after the faults", results.len());
             violations.push(Violation { rule: "recovery", details });
         }
     }
--- a/crates/fault-soak/src/violation.rs
+++ b/crates/fault-soak/src/violation.rs
@@ -1,13 +1,13 @@
-//! A rule that was broken, and what broke it.
+//! Violations of the rules that a run is checked against.
 
 use std::fmt;
 
-/// A broken rule.
+/// A violation of one rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule, in a word.
+    /// Short name of the rule.
     pub rule: &'static str,
-    /// What broke it.
+    /// Description of what violated the rule.
     pub details: String,
 }
 
--- a/crates/fault-soak/tests/interrupts.rs
+++ b/crates/fault-soak/tests/interrupts.rs
@@ -1,39 +1,39 @@
-//! Calls on sockets are interrupted, and reads and writes cut short.
+//! Tests with interrupted system calls on sockets.
 
 mod support;
 
 use fault_soak::settings::Class;
-use fault_soak::shim::{Call, Mode};
-use support::{Scene, EINTR, LIMIT};
+use fault_soak::shim::{Failure, Syscall};
+use support::{Fixture, EINTR, TIMEOUT};
 
-/// Half of all calls.
+/// Rate of failing system calls, of ten thousand: half of them.
 const RATE: u32 = 5_000;
 
-/// Guards against a request that is read and then closed without an answer.
+/// Guards against a request that gets no response because a system call on its connection was interrupted.
 #[tokio::test(flavor = "multi_thread")]
 async fn interrupted_calls_cost_no_request_its_answer() {
-    let scene = Scene::start(0).await;
-    scene.fail_at_rate(Call::Receive, Mode::Fails, EINTR, RATE);
-    scene.fail_at_rate(Call::Send, Mode::Fails, EINTR, RATE);
+    let fixture = Fixture::start(0).await;
+    fixture.fail_at_rate(Syscall::Receive, Failure::NotDone, EINTR, RATE);
+    fixture.fail_at_rate(Syscall::Send, Failure::NotDone, EINTR, RATE);
     for number in 0..40 {
         let id = format!("m{number}");
-        assert_eq!(scene.submit(&id, Class::Once, 2, 8_000).await, 202, "{id}");
-        scene.await_delivery(&id, LIMIT).await;
+        assert_eq!(fixture.submit(&id, Class::Once, 2, 8_000).await, 202, "{id}");
+        fixture.await_delivery(&id, TIMEOUT).await;
     }
-    assert!(scene.incidents().is_empty(), "{:?}", scene.incidents());
+    assert!(fixture.incidents().is_empty(), "{:?}", fixture.incidents());
 }
 
-/// Guards against a handover that fails, or whose relay ends, by an interrupted call.
+/// Guards against a handover that fails, or whose relay ends, because a system call was interrupted.
 #[tokio::test(flavor = "multi_thread")]
 async fn interrupted_calls_disturb_no_handover() {
-    let scene = Scene::start(1).await;
-    scene.fail_at_rate(Call::Receive, Mode::Fails, EINTR, RATE);
-    scene.fail_at_rate(Call::Send, Mode::Fails, EINTR, RATE);
+    let fixture = Fixture::start(1).await;
+    fixture.fail_at_rate(Syscall::Receive, Failure::NotDone, EINTR, RATE);
+    fixture.fail_at_rate(Syscall::Send, Failure::NotDone, EINTR, RATE);
     for number in 0..4 {
-        scene.sender.upgrade().await;
+        fixture.sender.upgrade().await;
         let id = format!("m{number}");
-        assert_eq!(scene.submit(&id, Class::Once, 2, 8_000).await, 202, "{id}");
-        scene.await_delivery(&id, LIMIT).await;
+        assert_eq!(fixture.submit(&id, Class::Once, 2, 8_000).await, 202, "{id}");
+        fixture.await_delivery(&id, TIMEOUT).await;
     }
-    assert!(scene.incidents().is_empty(), "{:?}", scene.incidents());
+    assert!(fixture.incidents().is_empty(), "{:?}", fixture.incidents());
 }
--- a/crates/fault-soak/tests/planted_mistakes.rs
+++ b/crates/fault-soak/tests/planted_mistakes.rs
@@ -1,27 +1,29 @@
-//! The soak goes red on mistakes that are planted on purpose, and stays green without one.
+//! Tests that the oracle reports defects that are planted on purpose, and reports nothing without them.
 
-use fault_soak::plan::{Plan, USUAL_MAX_KINDS};
-use fault_soak::planted::Plant;
+use fault_soak::plan::{Plan, DEFAULT_MAX_KINDS};
+use fault_soak::planted::PlantedDefect;
 use fault_soak::sender::find_executable;
-use fault_soak::soak::{play, Options};
+use fault_soak::soak::{run_plan, Options};
 
+/// Number of senders in a run.
 const SENDERS: usize = 2;
-/// A seed whose plan has a kill of both senders.
+/// A seed whose plan kills both senders.
 const SEED: u64 = 5;
 
-async fn rules_broken(plants: &[Plant], run: u8) -> Vec<&'static str> {
+/// Runs the seed with these defects and returns the names of the violated rules, one for each violation.
+async fn violated_rules(planted_defects: &[PlantedDefect], run: u8) -> Vec<&'static str> {
     use fault_soak::plan::FaultKind::{EndpointsFlaky, Kill};
     let options = Options {
         senders: SENDERS,
         executable: find_executable().unwrap(),
         log_filter: "warn".to_owned(),
         logs: None,
-        plants: plants.to_vec(),
+        planted_defects: planted_defects.to_vec(),
     };
-    let plan = Plan::draw(SEED, &[Kill, EndpointsFlaky], USUAL_MAX_KINDS);
+    let plan = Plan::draw(SEED, &[Kill, EndpointsFlaky], DEFAULT_MAX_KINDS);
     assert!(plan.kinds().contains(&Kill), "{plan}");
     let address = (std::process::id() % 18) as u8 * 7 + run + 121;
-    let report = play(&plan, &options, address).await.unwrap();
+    let report = run_plan(&plan, &options, address).await.unwrap();
     assert!(report.accepted > 500, "{} accepted", report.accepted);
     for violation in &report.violations {
         println!("{violation}");
@@ -29,41 +31,55 @@
     report.violations.iter().map(|violation| violation.rule).collect()
 }
 
+/// Guards against false alarms of the oracle.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_mistake_no_rule_is_broken() {
-    assert_eq!(rules_broken(&[], 0).await, Vec::<&str>::new());
+    assert_eq!(violated_rules(&[], 0).await, Vec::<&str>::new());
 }
 
+/// Guards against an oracle that misses messages lost at a restart because writes reported as successful were
+/// not done.
 #[tokio::test(flavor = "multi_thread")]
 async fn writes_that_are_not_done_lose_messages() {
-    assert!(rules_broken(&[Plant::LyingDisk], 1).await.contains(&"lost"));
+    assert!(violated_rules(&[PlantedDefect::LyingDisk], 1).await.contains(&"lost"));
 }
 
+/// Guards against an oracle that misses messages that end without a delivery or a notice.
 #[tokio::test(flavor = "multi_thread")]
 async fn notices_that_are_not_sent_lose_messages() {
-    assert!(rules_broken(&[Plant::SwallowedNotices], 2).await.contains(&"lost"));
+    assert!(violated_rules(&[PlantedDefect::SwallowedNotices], 2).await.contains(&"lost"));
 }
 
+/// Guards against an oracle that misses duplicate calls, or two calls of a message in flight at the same
+/// time.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_made_twice_are_duplicates() {
-    let rules = rules_broken(&[Plant::RepeatedCalls], 3).await;
+    let rules = violated_rules(&[PlantedDefect::RepeatedCalls], 3).await;
     assert!(rules.contains(&"duplicate") && rules.contains(&"two attempts out"), "{rules:?}");
 }
 
+/// Guards against an oracle that misses calls to an endpoint that was listed as draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_to_a_drained_endpoint_are_noticed() {
-    assert!(rules_broken(&[Plant::UnheededDrain], 4).await.contains(&"drain"));
+    assert!(violated_rules(&[PlantedDefect::UnheededDrain], 4).await.contains(&"drain"));
 }
 
+/// Guards against an oracle that misses connections that were closed without a response.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_without_an_answer_are_noticed() {
-    assert!(rules_broken(&[Plant::BrokenClients], 5).await.contains(&"closed without an answer"));
+    assert!(violated_rules(&[PlantedDefect::BrokenClients], 5).await.contains(&"closed without an answer"));
 }
 
+/// Guards against an oracle that misses one of several rules that are violated in the same run.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_of_several_mistakes_is_named() {
-    let plants = [Plant::OtherOrder, Plant::LateRepeat, Plant::UnheededWait, Plant::SentRefused];
-    let rules = rules_broken(&[&plants[..], &[Plant::OtherDestination]].concat(), 6).await;
+    let planted_defects = [
+        PlantedDefect::OtherOrder,
+        PlantedDefect::LateRepeat,
+        PlantedDefect::UnheededWait,
+        PlantedDefect::SentRefused,
+    ];
+    let rules = violated_rules(&[&planted_defects[..], &[PlantedDefect::OtherDestination]].concat(), 6).await;
     for rule in ["order", "outside the window", "retry-after", "sent after refusal", "foreign call"] {
         assert!(rules.contains(&rule), "{rule} in {rules:?}");
     }
--- a/crates/fault-soak/tests/reload.rs
+++ b/crates/fault-soak/tests/reload.rs
@@ -1,21 +1,25 @@
-//! The configuration is replaced while the sender reads it.
+//! Tests a reload of a configuration file that is only half written.
 
 mod support;
 
 use std::time::Duration;
 
-use support::Scene;
+use support::Fixture;
 
-/// A change counts as known so long after the signal.
-const KNOWN_AFTER: Duration = Duration::from_secs(4);
+/// Time after the signal within which the sender must use the new configuration.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Guards against a reload that is lost since the file was half written when the signal came.
+/// Guards against a reload that is lost because the file was only half written when the signal came.
 #[tokio::test(flavor = "multi_thread")]
 async fn file_that_is_half_written_at_the_signal_is_read_again() {
-    let scene = Scene::start(0).await;
-    let address = scene.discovery.listen(7).await.unwrap();
-    scene.sender.reload_torn(address).await;
-    // The listener tells under another number whom it has told.
-    let is_told = |scene: &Scene| scene.history.records().told.iter().any(|told| told.sender == 7);
-    assert!(scene.until(KNOWN_AFTER, is_told).await, "the new address is asked");
+    let fixture = Fixture::start(0).await;
+    let address = fixture.discovery.listen(7).await.unwrap();
+    fixture.sender.reload_torn(address).await;
+    // Status updates from the new listener are recorded under the sender index 7.
+    let is_update_sent =
+        |fixture: &Fixture| fixture.history.records().status_updates.iter().any(|update| update.sender == 7);
+    assert!(
+        fixture.wait_until(RELOAD_TIMEOUT, is_update_sent).await,
+        "the sender has not asked the new address"
+    );
 }
--- a/crates/fault-soak/tests/support/mod.rs
+++ b/crates/fault-soak/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! One sender with a few endpoints, for faults that are played by hand.
-#![allow(dead_code, reason = "each test binary uses its own part")]
+//! A fixture with one sender and three endpoints, for tests that inject chosen faults.
+#![allow(dead_code, reason = "each test binary uses only a part of this module")]
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,22 +10,23 @@
 use fault_soak::http::read_message;
 use fault_soak::sender::{find_executable, Sender, SenderSetup};
 use fault_soak::settings::{configuration, Class};
-use fault_soak::shim::{Call, Mode, Rule};
+use fault_soak::shim::{Failure, FailureRule, Syscall};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// Longest wait for anything that is sure to come.
-pub const LIMIT: Duration = Duration::from_secs(15);
-const POLL_PAUSE: Duration = Duration::from_millis(10);
+/// Time limit for events that must occur.
+pub const TIMEOUT: Duration = Duration::from_secs(15);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub const EINTR: i32 = 4;
 pub const EIO: i32 = 5;
 pub const EMFILE: i32 = 24;
 pub const ENOSPC: i32 = 28;
 
-/// A sender, an endpoint for each of the destinations 1 to 3, and discovery.
-pub struct Scene {
+/// A sender, one endpoint for each of the destinations 1 to 3, and discovery.
+pub struct Fixture {
     pub sender: Arc<Sender>,
     pub endpoints: Vec<Arc<Endpoint>>,
     pub discovery: Arc<Discovery>,
@@ -33,8 +34,8 @@
     _folder: tempfile::TempDir,
 }
 
-impl Scene {
-    /// Starts the sender. `number` tells the tests of one binary apart.
+impl Fixture {
+    /// Starts the sender. `number` gives each test of a binary its own address.
     pub async fn start(number: u8) -> Self {
         let history = Arc::new(History::default());
         let mut endpoints = Vec::new();
@@ -63,94 +64,98 @@
         Self { sender, endpoints, discovery, history, _folder: folder }
     }
 
-    /// Has the endpoint of a destination behave so from now on.
-    pub fn behave(&self, destination: usize, behaviour: Behaviour) {
+    /// Sets the behaviour of the endpoint of a destination.
+    pub fn set_behaviour(&self, destination: usize, behaviour: Behaviour) {
         self.endpoints[destination - 1].set_behaviour(Some(behaviour));
     }
 
-    /// Has a kind of call fail from now on, always.
-    pub fn fail(&self, call: Call, mode: Mode, errno: i32) {
+    /// Makes every system call of this kind fail from now on.
+    pub fn fail(&self, call: Syscall, mode: Failure, errno: i32) {
         self.fail_at_rate(call, mode, errno, fault_soak::shim::ALWAYS);
     }
 
-    /// Has a kind of call fail from now on, so many times of ten thousand.
-    pub fn fail_at_rate(&self, call: Call, mode: Mode, errno: i32, rate: u32) {
-        self.sender.control.set(call, &Rule { rate, modes: vec![mode], errnos: vec![errno] }).unwrap();
+    /// Makes system calls of this kind fail from now on, `rate` of ten thousand.
+    pub fn fail_at_rate(&self, call: Syscall, mode: Failure, errno: i32, rate: u32) {
+        self.sender.control.set(call, &FailureRule { rate, modes: vec![mode], errnos: vec![errno] }).unwrap();
     }
 
-    /// Has all calls work again.
-    pub fn mend(&self) {
+    /// Ends the failures of all system calls.
+    pub fn clear_faults(&self) {
         self.sender.control.clear_all().unwrap();
     }
 
-    /// Submits a message on a new connection; returns the status, 0 if there was none.
+    /// Submits a message on a new connection; returns the status of the response, 0 if there was none.
     pub async fn submit(&self, id: &str, class: Class, destination: u64, budget_ms: u64) -> u16 {
         self.request(&submission(id, class, destination, budget_ms)).await
     }
 
-    /// Submits a message that must be accepted.
-    pub async fn accept(&self, id: &str, class: Class, destination: u64, budget_ms: u64) {
+    /// Submits a message and checks that it is accepted.
+    pub async fn submit_accepted(&self, id: &str, class: Class, destination: u64, budget_ms: u64) {
         assert_eq!(self.submit(id, class, destination, budget_ms).await, 202, "{id}");
     }
 
-    /// Sends a request on a new connection; returns the status of its answer, 0 if there was none.
+    /// Sends a request on a new connection; returns the status of the response, 0 if there was none.
     pub async fn request(&self, text: &str) -> u16 {
         let Ok(stream) = TcpStream::connect(self.sender.address).await else { return 0 };
         let mut stream = BufReader::new(stream);
-        // The sender may answer and close before it has read all.
+        // The write fails if the sender responds and closes the connection before it has read everything.
         let _ = stream.get_mut().write_all(text.as_bytes()).await;
-        let answer =
-            tokio::time::timeout(LIMIT, read_message(&mut stream)).await.expect("an answer or an end");
-        answer.ok().flatten().map_or(0, |answer| answer.status())
+        let response = tokio::time::timeout(TIMEOUT, read_message(&mut stream))
+            .await
+            .expect("neither a response nor a close in time");
+        response.ok().flatten().map_or(0, |response| response.status())
     }
 
-    /// Calls of a message that have arrived.
+    /// Returns the number of calls of a message that have arrived.
     pub fn calls(&self, id: &str) -> usize {
         self.history.records().calls.iter().filter(|call| call.call_id == id).count()
     }
 
-    /// Whether a message was delivered.
+    /// Returns whether a message was delivered.
     pub fn is_delivered(&self, id: &str) -> bool {
         let records = self.history.records();
         let is_delivery = |reply| matches!(reply, Some((Reply::Delivered, _)));
         records.calls.iter().any(|call| call.call_id == id && is_delivery(call.reply))
     }
 
-    /// The first notice of a message.
+    /// Returns the result in the first notice of a message.
     pub fn notice(&self, id: &str) -> Option<NoticeResult> {
         self.history.records().notices.get(id).and_then(|notices| notices.first()).map(|(result, _)| *result)
     }
 
-    /// Waits until this holds; false if it does not in time.
-    pub async fn until(&self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
+    /// Waits until the condition holds; returns false if it does not within the limit.
+    pub async fn wait_until(&self, limit: Duration, holds: impl Fn(&Self) -> bool) -> bool {
         let start = Instant::now();
         while start.elapsed() < limit {
             if holds(self) {
                 return true;
             }
-            sleep(POLL_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         false
     }
 
-    /// Waits for a message's first call.
+    /// Waits for the first call of a message.
     pub async fn await_call(&self, id: &str) {
-        assert!(self.until(LIMIT, |scene| scene.calls(id) > 0).await, "{id} is called");
+        assert!(
+            self.wait_until(TIMEOUT, |fixture| fixture.calls(id) > 0).await,
+            "no call of {id} has arrived"
+        );
     }
 
-    /// Waits for a message's delivery.
+    /// Waits for the delivery of a message.
     pub async fn await_delivery(&self, id: &str, limit: Duration) {
-        let is_delivered = self.until(limit, |scene| scene.is_delivered(id)).await;
-        assert!(is_delivered, "{id} is not delivered; its notice: {:?}", self.notice(id));
+        let is_delivered = self.wait_until(limit, |fixture| fixture.is_delivered(id)).await;
+        assert!(is_delivered, "{id} was not delivered, its notice: {:?}", self.notice(id));
     }
 
-    /// What went wrong with the process.
+    /// Returns the descriptions of the recorded incidents.
     pub fn incidents(&self) -> Vec<String> {
-        self.history.records().incidents.iter().map(|incident| incident.what.clone()).collect()
+        self.history.records().incidents.iter().map(|incident| incident.description.clone()).collect()
     }
 }
 
-/// The request that submits a message; all of the ordered class have one key.
+/// Returns the request that submits a message. All messages of class `Ordered` have the same order key.
 pub fn submission(id: &str, class: Class, destination: u64, budget_ms: u64) -> String {
     let query = if class == Class::Ordered { "?subject=card" } else { "" };
     format!(
