--- a/crates/fault-soak/src/oracle.rs
+++ b/crates/fault-soak/src/oracle.rs
@@ -174,7 +174,7 @@
         if result == (SubmitResult::Closed { is_fresh: true })
             && !self.is_disrupted(message.sender, submitted, at)
         {
-            self.report("closed without an answer", self.describe(id, message));
+            self.report("closed without response", self.describe(id, message));
         }
     }
 
@@ -195,7 +195,7 @@
                 let limit = Duration::from_millis(IDEMPOTENCY_WINDOW_MS) + SCHEDULING_DELAY + TOLERANCE;
                 let is_late = |call: &&&EndpointCall| call.first_byte_at > first.first_byte_at + limit;
                 if later.iter().any(is_late) {
-                    self.report("outside the window", self.describe(id, message));
+                    self.report("repeated after idempotency window", self.describe(id, message));
                 }
             }
         }
@@ -253,7 +253,7 @@
         }
         for id in overlapping {
             let Some(message) = self.records.messages.get(&id) else { continue };
-            self.report("two attempts out", self.describe(&id, message));
+            self.report("overlapping attempts", self.describe(&id, message));
         }
     }
 
@@ -266,7 +266,7 @@
                 details.push(format!("{} at endpoint s-{}", call.call_id, call.endpoint));
             }
         }
-        self.report_all("foreign call", details);
+        self.report_all("unexpected call", details);
     }
 
     fn sender_of(&self, call: &EndpointCall) -> Option<usize> {
@@ -342,7 +342,10 @@
             .collect();
         let unanswered = undisrupted.iter().filter(|is_answered| !**is_answered).count();
         if unanswered * PEERS_PER_UNANSWERED > undisrupted.len() {
-            self.report("peers", format!("{unanswered} of {} got no error or close", undisrupted.len()));
+            self.report(
+                "unanswered peers",
+                format!("{unanswered} of {} got no error or close", undisrupted.len()),
+            );
         }
     }
 
@@ -389,7 +392,7 @@
         let given_up = recovered.iter().filter(|id| self.is_given_up_early(id)).count();
         if recovered.len() >= MIN_RECOVERED && 2 * given_up > recovered.len() {
             self.report(
-                "recovered and given up",
+                "recovered but not attempted",
                 format!(
                     "sender {sender}, ready at {:.3} s: {given_up} of {} ended early without a call",
                     self.seconds(ready_at),
--- a/crates/fault-soak/tests/planted_mistakes.rs
+++ b/crates/fault-soak/tests/planted_mistakes.rs
@@ -55,7 +55,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_made_twice_are_duplicates() {
     let rules = violated_rules(&[PlantedDefect::RepeatedCalls], 3).await;
-    assert!(rules.contains(&"duplicate") && rules.contains(&"two attempts out"), "{rules:?}");
+    assert!(rules.contains(&"duplicate") && rules.contains(&"overlapping attempts"), "{rules:?}");
 }
 
 /// Guards against an oracle that misses calls to an endpoint that was listed as draining.
@@ -67,7 +67,7 @@
 /// Guards against an oracle that misses connections that were closed without a response.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_without_an_answer_are_noticed() {
-    assert!(violated_rules(&[PlantedDefect::BrokenClients], 5).await.contains(&"closed without an answer"));
+    assert!(violated_rules(&[PlantedDefect::BrokenClients], 5).await.contains(&"closed without response"));
 }
 
 /// Guards against an oracle that misses one of several rules that are violated in the same run.
@@ -80,7 +80,9 @@
         PlantedDefect::SentRefused,
     ];
     let rules = violated_rules(&[&planted_defects[..], &[PlantedDefect::OtherDestination]].concat(), 6).await;
-    for rule in ["order", "outside the window", "retry-after", "sent after refusal", "foreign call"] {
+    for rule in
+        ["order", "repeated after idempotency window", "retry-after", "sent after refusal", "unexpected call"]
+    {
         assert!(rules.contains(&rule), "{rule} in {rules:?}");
     }
 }
