--- a/crates/fault-soak/shim/fault_shim.c
+++ b/crates/fault-soak/shim/fault_shim.c
@@ -28,19 +28,19 @@
 
 /* Maximum number of error numbers in a rule. */
 #define MAX_ERRNOS 4
-/* Rate at which every call fails. */
+/* Rate at which every call fails; rates are numbers of failing calls per this many calls. */
 #define RATE_SCALE 10000
 
 struct failure_rule {
-    uint32_t rate;
-    uint32_t modes;
-    uint32_t errnos[MAX_ERRNOS];
-    uint32_t injected;
+    uint32_t rate; /* how many of RATE_SCALE calls fail */
+    uint32_t modes; /* bits of `enum failure` */
+    uint32_t errnos[MAX_ERRNOS]; /* error numbers, up to the first 0; EIO is used if there are none */
+    uint32_t injected; /* number of failures so far */
     uint32_t reserved;
 };
 
 struct control {
-    int64_t wall_offset_us;
+    int64_t wall_offset_us; /* added to the wall clock, in microseconds */
     struct failure_rule rules[SYSCALL_COUNT];
 };
 
@@ -91,6 +91,7 @@
     return -1;
 }
 
+/* The function of this name that this library replaces. */
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 static mode_t descriptor_type(int descriptor) {
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -22,7 +22,8 @@
 const PEER_TOLERANCE: Duration = Duration::from_millis(300);
 /// Size of large invalid requests, in bytes.
 const GARBAGE_BYTES: usize = 200_000;
-/// Time after which a message has most likely ended, so that it can be submitted again under the same id.
+/// Time after which an accepted message has most likely ended, so that it can be submitted again under the
+/// same id.
 const REPLAY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Switches for clients and other peers, which faults set while the load runs.
@@ -30,7 +31,7 @@
 pub struct LoadControl {
     /// Some clients disconnect without waiting for the response.
     pub abandon: AtomicBool,
-    /// Some messages are submitted again under the same id.
+    /// Some accepted messages of class `Once` are submitted again under the same id.
     pub replay: AtomicBool,
     /// Peers send incomplete requests.
     pub stall: AtomicBool,
@@ -49,12 +50,16 @@
 /// A client that uses one connection at a time.
 pub struct Client {
     sender: usize,
+    /// Number of the client among the clients of its sender.
     number: usize,
     address: SocketAddr,
     load_control: Arc<LoadControl>,
     history: Arc<History>,
+    /// Connection that is kept for the next request.
     connection: Option<BufReader<TcpStream>>,
+    /// Number of messages submitted so far.
     submitted: u64,
+    /// Number of messages with an order key submitted so far.
     ordered: u64,
     /// An accepted message of class `Once`: its call id, the request, and the time of its acceptance.
     replayable: Option<(String, String, Instant)>,
--- a/crates/fault-soak/src/discovery.rs
+++ b/crates/fault-soak/src/discovery.rs
@@ -72,7 +72,7 @@
     list: watch::Sender<List>,
     service_state: AtomicU8,
     history: Arc<History>,
-    /// A planted defect: notices are acknowledged, but not recorded.
+    /// Whether notices are acknowledged, but not recorded, as a planted defect.
     pub drops_notices: bool,
     addresses: Mutex<Vec<SocketAddr>>,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Changes the status of an endpoint in the list.
-    pub fn list(&self, endpoint: usize, status: Status) {
+    pub fn set_status(&self, endpoint: usize, status: Status) {
         self.list.send_modify(|list| {
             list.version += 1;
             list.endpoints[endpoint] = (list.version, status);
--- a/crates/fault-soak/src/endpoint.rs
+++ b/crates/fault-soak/src/endpoint.rs
@@ -49,7 +49,7 @@
     ];
 }
 
-/// A simulated endpoint, which listens until the value and its tasks are dropped.
+/// A simulated endpoint, which listens until the runtime of its tasks is shut down.
 pub struct Endpoint {
     /// Index of the endpoint, which is part of its name.
     pub index: usize,
@@ -111,13 +111,14 @@
         let mut stream = BufReader::new(stream);
         while let Ok(Some(call)) = read_message(&mut stream).await {
             let number = self.record_call(&call);
-            let ended = self.respond(number, &mut stream).await;
-            if !ended {
+            let keeps_connection = self.respond(number, &mut stream).await;
+            if !keeps_connection {
                 return;
             }
         }
     }
 
+    /// Records a call and returns its index in the records.
     fn record_call(&self, call: &HttpMessage) -> usize {
         let mut records = self.history.records();
         records.calls.push(EndpointCall {
@@ -137,7 +138,7 @@
         self.history.records().calls[number].reply = Some((reply, Instant::now()));
     }
 
-    /// Answers a call; false if its connection has ended or must be closed.
+    /// Answers a call; returns false if its connection has ended or must be closed.
     async fn respond(&self, number: usize, stream: &mut BufReader<TcpStream>) -> bool {
         let behaviour = self.behaviour();
         if behaviour == Behaviour::Hanging {
--- a/crates/fault-soak/src/faults.rs
+++ b/crates/fault-soak/src/faults.rs
@@ -14,6 +14,7 @@
 use crate::sender::Sender;
 use crate::shim::{Failure, FailureRule, Syscall};
 
+// Error numbers of Linux.
 const EINTR: i32 = 4;
 const EIO: i32 = 5;
 const ENOMEM: i32 = 12;
@@ -26,6 +27,7 @@
 const ETIMEDOUT: i32 = 110;
 const EHOSTUNREACH: i32 = 113;
 
+/// One hour, in microseconds.
 const HOUR_MICROS: i64 = 3_600_000_000;
 /// Longest time for which processes are suspended.
 const MAX_PAUSE: Duration = Duration::from_millis(2_500);
@@ -155,7 +157,7 @@
             (true, 0..1_000) => Status::Removed,
             (true, _) => Status::Draining,
         };
-        self.discovery.list(endpoint, status);
+        self.discovery.set_status(endpoint, status);
     }
 }
 
--- a/crates/fault-soak/src/history.rs
+++ b/crates/fault-soak/src/history.rs
@@ -1,5 +1,5 @@
-//! Records of what clients, endpoints and discovery observed, and of process events. The oracle uses nothing
-//! else.
+//! Records of what clients, endpoints and discovery observed, of process events and of incidents. The oracle
+//! uses nothing else.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -67,7 +67,7 @@
     Error,
     /// Status 429 with a retry delay, or 503 without one: the message has not taken effect.
     Rejected {
-        /// How long the sender must wait before its next call to the destination.
+        /// How long the sender must wait before its next call to the destination; `None` for status 503.
         retry_after: Option<Duration>,
     },
     /// No response, and the connection was reset: the message may have taken effect.
@@ -122,9 +122,9 @@
 /// An event in the life of a sender's processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// A process was sent SIGTERM or SIGKILL, or a successor was started that will be killed.
+    /// A process is about to get SIGTERM or SIGKILL, or a successor is about to start that will be killed.
     Ending,
-    /// A successor is started to take over.
+    /// A successor is about to start and take over.
     Upgrading,
     /// A process is ready for clients, or its start timed out.
     Ready,
--- a/crates/fault-soak/src/http.rs
+++ b/crates/fault-soak/src/http.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 use tokio::time::Instant;
 
-/// Most header lines that are read; a sender that writes more is at fault.
+/// Maximum number of header lines that are read; senders are expected to write fewer.
 const MAX_HEAD_LINES: usize = 64;
 
 /// A request or a response that was read completely.
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -2,8 +2,9 @@
 //! endpoints and discovery, and a library loaded into the senders that makes system calls fail.
 //!
 //! For each seed, a [`plan`] of faults that overlap in time is drawn, printed and executed. The [`oracle`]
-//! checks the rules of the protocol against the [`history`], which holds only what clients, endpoints and
-//! discovery observed. The senders' own count of violated invariants is a second oracle.
+//! checks the rules of the protocol against the [`history`], which holds what clients, endpoints and
+//! discovery observed, process events, and incidents such as crashes. Invariant violations that the senders
+//! count themselves are recorded as incidents.
 
 pub mod client;
 pub mod discovery;
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -34,10 +34,11 @@
     /// Kinds of faults that are never drawn.
     #[arg(long, value_delimiter = ',')]
     except: Vec<FaultKind>,
-    /// Maximum number of kinds of faults drawn for a seed.
+    /// Maximum number of kinds of faults drawn for a seed, without restarts that are added.
     #[arg(long, default_value_t = DEFAULT_MAX_KINDS)]
     max_kinds: usize,
-    /// Run a failed seed again without one kind of fault after the other, and print the kinds that it needs.
+    /// Run a failed seed again without one kind of fault after the other, and print the faults that are
+    /// needed to violate the same rule.
     #[arg(long)]
     shrink: bool,
     /// Plant a defect, with which the seed must fail. May be given more than once.
@@ -112,9 +113,10 @@
     for (run, plan) in plans.iter().cloned().enumerate() {
         println!("plan of seed {}:\n{plan}", plan.seed);
         let options = options.clone();
-        let address = run as u8 + (std::process::id() % 50) as u8 * 5;
+        // The process id keeps the loopback addresses of concurrent processes apart in most cases.
+        let run_index = run as u8 + (std::process::id() % 50) as u8 * 5;
         tasks.push(tokio::spawn(async move {
-            let report = run_plan(&plan, &options, address).await;
+            let report = run_plan(&plan, &options, run_index).await;
             report.map(|report| (plan, report))
         }));
     }
@@ -145,7 +147,8 @@
     }
 }
 
-/// Removes one kind of fault after the other from the plan, as long as the seed still violates the same rule.
+/// Removes each kind of fault without which the seed still violates the rule of its first violation, and
+/// prints the remaining plan.
 fn shrink(runtime: &tokio::runtime::Runtime, plan: Plan, report: &Report, options: &Options) -> Result<()> {
     let rule = report.violations[0].rule;
     let mut minimal = plan;
--- a/crates/fault-soak/src/oracle.rs
+++ b/crates/fault-soak/src/oracle.rs
@@ -1,7 +1,7 @@
 //! Checks the rules of the protocol against the history of a run.
 //!
-//! All that the oracle knows about a sender is what clients, endpoints and discovery observed, and when its
-//! processes were ended, paused or ready.
+//! All that the oracle knows about a sender is what clients, endpoints and discovery observed, its process
+//! events, such as starts and pauses, and its incidents.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// How long after its deadline a message may end before it counts as late.
 const END_GRACE: Duration = Duration::from_millis(300);
-/// A message that is due around a disruption may end up to this long after the disruption.
+/// A message that is due during or soon after a disruption may end up to this long after the disruption.
 const RESTART_GRACE: Duration = Duration::from_millis(1_500);
 /// Added to each limit: the tolerance of the protocol, and delays of the test machine.
 const TOLERANCE: Duration = Duration::from_millis(150);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns the latest time for something that is due, if restarts and pauses of the sender may delay it.
+    /// Returns the due time, extended to allow for disruptions of the sender that begin before it.
     fn extend_due_time(&self, sender: usize, due: Instant) -> Instant {
         let mut due = due;
         for (start, end) in disruptions(self.records, sender, self.start) {
@@ -157,8 +157,8 @@
 
     /// Whether a process of the sender was ending, starting or paused around this period.
     fn is_disrupted(&self, sender: usize, from: Instant, to: Instant) -> bool {
-        let spans = disruptions(self.records, sender, self.start);
-        spans
+        let disruptions = disruptions(self.records, sender, self.start);
+        disruptions
             .into_iter()
             .any(|(start, end)| start <= to + TOLERANCE && end.is_none_or(|end| from <= end + TOLERANCE))
     }
@@ -294,7 +294,7 @@
     /// Checks that a process waits for the retry delay of a destination that rejected one of its calls.
     fn check_retry_after(&mut self) {
         let mut details = Vec::new();
-        for (sender, destination, calls) in self.calls_by_route() {
+        for (sender, destination, calls) in self.calls_by_sender_and_destination() {
             for rejected in &calls {
                 let Some((Reply::Rejected { retry_after: Some(wait) }, replied_at)) = rejected.reply else {
                     continue;
@@ -317,14 +317,14 @@
 
     /// Returns the calls of each sender to each destination, in the order of the arrival of their first
     /// bytes.
-    fn calls_by_route(&self) -> Vec<(usize, u64, Vec<&'a EndpointCall>)> {
-        let mut routes: BTreeMap<(usize, u64), Vec<&EndpointCall>> = BTreeMap::new();
+    fn calls_by_sender_and_destination(&self) -> Vec<(usize, u64, Vec<&'a EndpointCall>)> {
+        let mut groups: BTreeMap<(usize, u64), Vec<&EndpointCall>> = BTreeMap::new();
         for call in &self.records.calls {
             if let Some(sender) = self.sender_of(call) {
-                routes.entry((sender, call.destination)).or_default().push(call);
+                groups.entry((sender, call.destination)).or_default().push(call);
             }
         }
-        let sorted = routes.into_iter().map(|((sender, destination), mut calls)| {
+        let sorted = groups.into_iter().map(|((sender, destination), mut calls)| {
             calls.sort_by_key(|call| call.first_byte_at);
             (sender, destination, calls)
         });
@@ -349,8 +349,8 @@
         }
     }
 
-    /// Checks that messages which a restart recovers without an attempt, and with half of their time left,
-    /// are attempted.
+    /// Checks for each restart that, of the messages recovered without an attempt and with at least half of
+    /// their time left, at most half are given up early without a call.
     fn check_restarts(&mut self) {
         let process_events = &self.records.process_events;
         let ready = process_events.iter().filter(|(_, event, _)| *event == ProcessEvent::Ready);
--- a/crates/fault-soak/src/plan.rs
+++ b/crates/fault-soak/src/plan.rs
@@ -10,7 +10,7 @@
 pub enum FaultKind {
     /// SIGKILL, and a restart 0.6 s later.
     Kill,
-    /// SIGKILL, and a second SIGKILL soon after the restart.
+    /// SIGKILL, a restart, a second SIGKILL soon after it, and another restart.
     KillTwice,
     /// SIGTERM, SIGKILL if the process has not ended after 3.7 s, and a restart 0.6 s after its end.
     Terminate,
@@ -32,11 +32,11 @@
     WallClockForward,
     /// The wall clock is set back or forward by some seconds.
     WallClockSeconds,
-    /// Writes to files fail, for example because the disk is full.
+    /// Some writes to files fail with ENOSPC or EIO, as on a full or broken disk.
     DiskWrites,
-    /// Writes to files are partial, and truncating the file afterwards mostly fails too.
+    /// Some writes to files are partial, with an error from the next write, and most truncations fail.
     DiskTornWrites,
-    /// Writes to files succeed, but are reported as failed.
+    /// Some writes to files succeed, but are reported as failed.
     DiskFalseFailures,
     /// Renames, opens, locks, truncations and removals of files fail at times.
     DiskNames,
@@ -48,7 +48,8 @@
     Accepts,
     /// `connect` fails at times.
     Connects,
-    /// System calls on sockets are interrupted (EINTR), and reads and writes are partial.
+    /// Some system calls on sockets and epoll fail with EINTR, and some reads and writes of sockets are
+    /// partial.
     Interrupts,
     /// Endpoints answer some calls with errors or connection resets.
     EndpointsFlaky,
@@ -60,9 +61,9 @@
     EndpointsSlow,
     /// An endpoint is listed as draining or removed, and later as up again.
     EndpointsDrain,
-    /// Discovery responds with 503.
+    /// Discovery responds to requests for the list with 503.
     DiscoveryDown,
-    /// Discovery does not respond for 30 s.
+    /// Discovery delays its responses to requests for the list by 30 s.
     DiscoverySilent,
     /// Discovery restarts its version numbers at 1.
     DiscoveryReset,
@@ -72,7 +73,8 @@
     PeersStall,
     /// Peers send large amounts of data that is no valid request.
     PeersGarbage,
-    /// Clients submit messages again under the same id, most of them after the message has ended.
+    /// Clients submit accepted messages of class `Once` again under the same id, most of them after the
+    /// message has ended.
     ClientsReplay,
 }
 
@@ -83,11 +85,12 @@
     pub kind: FaultKind,
     /// Time from the start of the load to the beginning of the fault.
     pub start_offset: Duration,
-    /// How long the fault lasts. Process events occur once, at the beginning.
+    /// How long the fault lasts. Process events occur once, at the beginning; of them, only `Pause` uses it.
     pub duration: Duration,
     /// Numbers of the affected senders or endpoints, each taken modulo their count.
     pub targets: Vec<usize>,
-    /// How many of ten thousand system calls fail. Other kinds of faults derive a delay or a variant from it.
+    /// How many of ten thousand system calls fail, before some kinds of faults double or limit it. Kinds that
+    /// fail no system calls derive a delay, a clock offset or a variant from it, or ignore it.
     pub rate: u32,
 }
 
@@ -160,8 +163,8 @@
         drawn.truncate(random.usize(MIN_KINDS..=max_kinds.max(MIN_KINDS)));
         let restarts = [FaultKind::Kill, FaultKind::Terminate, FaultKind::Upgrade, FaultKind::KillTwice];
         let possible: Vec<FaultKind> = restarts.into_iter().filter(|kind| kinds.contains(kind)).collect();
-        let has_process_fault = drawn.iter().any(|kind| restarts.contains(kind));
-        if !has_process_fault && random.f64() < RESTART_CHANCE {
+        let has_restart = drawn.iter().any(|kind| restarts.contains(kind));
+        if !has_restart && random.f64() < RESTART_CHANCE {
             drawn.extend(random.choice(&possible));
         }
         let mut faults: Vec<Fault> = Vec::new();
--- a/crates/fault-soak/src/planted.rs
+++ b/crates/fault-soak/src/planted.rs
@@ -113,7 +113,8 @@
     records.calls.push(EndpointCall { first_byte_at, arrived_at, ..call });
 }
 
-/// Adds calls 100 ms before the end of many retry delays, as a restart near one of them hides its violation.
+/// Adds calls 100 ms before the end of many retry delays. A single one might not be reported, as the oracle
+/// ignores calls around a restart.
 fn call_before_retry_after(records: &mut Records) {
     let long_wait = Duration::from_millis(600);
     let mut early = Vec::new();
--- a/crates/fault-soak/src/sender.rs
+++ b/crates/fault-soak/src/sender.rs
@@ -43,7 +43,7 @@
     folder: PathBuf,
     executable: PathBuf,
     processes: Mutex<Vec<Process>>,
-    /// Held while processes are ended and started, so that faults of one sender do not interfere.
+    /// Held while processes are ended and started, so that concurrent faults of one sender do not interfere.
     lifecycle: Mutex<()>,
     next_management: AtomicU16,
     /// Number of pauses that have begun, and number of pauses that have ended.
@@ -88,11 +88,11 @@
         Ok(Arc::new(sender))
     }
 
-    /// Returns the address for clients of the sender with this index in the run with this number. Each sender
+    /// Returns the address for clients of the sender with index `index` in the run `run_index`. Each sender
     /// has a loopback address of its own.
     #[must_use]
-    pub fn address_of(run: u8, index: usize) -> SocketAddr {
-        SocketAddr::from(([127, 10, run, index as u8 + 1], CLIENT_PORT))
+    pub fn address_of(run_index: u8, index: usize) -> SocketAddr {
+        SocketAddr::from(([127, 10, run_index, index as u8 + 1], CLIENT_PORT))
     }
 
     fn configuration_path(&self) -> PathBuf {
--- a/crates/fault-soak/src/settings.rs
+++ b/crates/fault-soak/src/settings.rs
@@ -6,7 +6,7 @@
 
 /// Idempotency window, in milliseconds.
 pub const IDEMPOTENCY_WINDOW_MS: u64 = 6_000;
-/// Time after which a draining endpoint gets no new attempts, in milliseconds.
+/// Time for which an endpoint that was listed as draining may still get new attempts, in milliseconds.
 pub const DRAIN_GRACE_MS: u64 = 300;
 /// Longest time to the deadline of a message, in milliseconds.
 pub const DEADLINE_MS: u64 = 8_000;
@@ -60,7 +60,8 @@
     }
 }
 
-/// Returns the content of the configuration file of one sender.
+/// Returns the content of the configuration file of one sender. `senders` is the number of senders in the
+/// run, and `endpoints` is the list that the sender has before its first response from discovery.
 #[must_use]
 pub fn configuration(
     name: &str,
--- a/crates/fault-soak/src/soak.rs
+++ b/crates/fault-soak/src/soak.rs
@@ -31,9 +31,9 @@
 const MIN_ACCEPTED_RATIO: f64 = 0.9;
 /// Time after the last deadline for the last notices and the end of restarts.
 const FINAL_NOTICES_GRACE: Duration = Duration::from_secs(2);
-/// Most file descriptors that an idle sender holds: listeners, journal, lock and some idle connections.
+/// Maximum number of file descriptors of an idle sender: listeners, journal, lock and some idle connections.
 const IDLE_DESCRIPTORS: usize = 60;
-/// Most log lines per second that a sender may write, averaged over the run.
+/// Maximum number of log lines per second that a sender may write, averaged over the run.
 const MAX_LOG_RATE: u64 = 40;
 /// Number of descriptor counts, 250 ms apart, that must all be too high for a leak to be reported.
 const DESCRIPTOR_CHECKS: usize = 40;
@@ -138,8 +138,8 @@
         self.check_senders(start).await;
         let invariant_violations = self.count_invariant_violations().await;
         self.terminate_all().await;
-        let recovered = faults_end + RECOVERY_TIME - RECOVERY_CHECK_TIME;
-        tokio::task::block_in_place(|| self.build_report(start, recovered, load_end, invariant_violations))
+        let check_from = faults_end + RECOVERY_TIME - RECOVERY_CHECK_TIME;
+        tokio::task::block_in_place(|| self.build_report(start, check_from, load_end, invariant_violations))
     }
 
     async fn terminate_all(&self) {
@@ -225,7 +225,7 @@
     fn build_report(
         &self,
         start: Instant,
-        recovered: Instant,
+        check_from: Instant,
         load_end: Instant,
         invariant_violations: u64,
     ) -> Report {
@@ -234,7 +234,7 @@
             defect.apply(&mut records);
         }
         let mut violations = Oracle::new(&records, start).find_violations();
-        violations.extend(check_recovery(&records, recovered, load_end));
+        violations.extend(check_recovery(&records, check_from, load_end));
         let is_accepted =
             |message: &&Message| message.result.is_some_and(|(result, _)| result == SubmitResult::Accepted);
         Report {
@@ -271,7 +271,8 @@
     Ok(endpoints)
 }
 
-/// Checks that each sender accepts messages again between `from` and `to`, after the faults.
+/// Checks that each sender accepts messages again between `from` and `to`, after the faults. Only messages to
+/// destination 1 count, as its endpoints are healthy without a fault.
 fn check_recovery(records: &Records, from: Instant, to: Instant) -> Vec<Violation> {
     let mut violations = Vec::new();
     let senders = records.messages.values().map(|message| message.sender).max().unwrap_or(0);
