--- a/crates/fault-soak/tests/clients.rs
+++ b/crates/fault-soak/tests/clients.rs
@@ -50,7 +50,8 @@
     assert_eq!(fixture.calls("m1"), 1);
 }
 
-/// Guards against the same duplicate if the sender is killed and restarted between the two submissions.
+/// Guards against a message that is delivered twice because the sender is killed and restarted after its end,
+/// and the message is then submitted again under the same id.
 #[tokio::test(flavor = "multi_thread")]
 async fn message_submitted_again_after_a_restart_is_not_sent_again() {
     let fixture = Fixture::start(2).await;
--- a/crates/fault-soak/tests/clock.rs
+++ b/crates/fault-soak/tests/clock.rs
@@ -8,6 +8,7 @@
 use fault_soak::settings::Class;
 use support::{Fixture, TIMEOUT};
 
+/// One hour, in microseconds.
 const HOUR_MICROS: i64 = 3_600_000_000;
 
 /// Guards against messages that end an hour late: if deadlines depended on the wall clock, the next process
--- a/crates/fault-soak/tests/interrupts.rs
+++ b/crates/fault-soak/tests/interrupts.rs
@@ -6,7 +6,7 @@
 use fault_soak::shim::{Failure, Syscall};
 use support::{Fixture, EINTR, TIMEOUT};
 
-/// Rate of failing system calls, of ten thousand: half of them.
+/// Number of system calls that fail, of ten thousand: half of them.
 const RATE: u32 = 5_000;
 
 /// Guards against a request that gets no response because a system call on its connection was interrupted.
--- a/crates/fault-soak/tests/journal.rs
+++ b/crates/fault-soak/tests/journal.rs
@@ -10,7 +10,8 @@
 use support::{Fixture, EIO, ENOSPC, TIMEOUT};
 
 /// Guards against losing records that are written after a partial record: a write was partial, and truncating
-/// the file failed. Also guards against a start that ends because it cannot truncate the file either.
+/// the file failed. Also guards against a process that exits at its start because it cannot truncate the file
+/// either.
 #[tokio::test(flavor = "multi_thread")]
 async fn records_behind_a_torn_write_survive_it() {
     let fixture = Fixture::start(0).await;
@@ -21,7 +22,7 @@
     fixture.fail(Syscall::Truncate, Failure::NotDone, EIO);
     assert_ne!(fixture.submit("torn", Class::Keyed, 1, 8_000).await, 202);
     fixture.sender.control.clear(Syscall::WriteFile).unwrap();
-    // The sender retries a failed write after a moment.
+    // The sender retries a failed write every 50 ms.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let is_accepted = fixture.submit("m2", Class::Keyed, 1, 8_000).await == 202;
     fixture.set_behaviour(1, Behaviour::Healthy);
@@ -33,8 +34,8 @@
     assert!(fixture.incidents().is_empty(), "{:?}", fixture.incidents());
 }
 
-/// Guards against a start that ends because the state folder cannot be written. The sender must then refuse
-/// new messages, and deliver the messages that it accepted before once writes succeed again.
+/// Guards against a process that exits at its start because the state folder cannot be written. It must
+/// refuse new messages, and deliver the messages that were accepted before once writes succeed again.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_on_a_folder_that_takes_no_writes_becomes_ready() {
     let fixture = Fixture::start(1).await;
--- a/crates/fault-soak/tests/planted_mistakes.rs
+++ b/crates/fault-soak/tests/planted_mistakes.rs
@@ -10,7 +10,8 @@
 /// A seed whose plan kills both senders.
 const SEED: u64 = 5;
 
-/// Runs the seed with these defects and returns the names of the violated rules, one for each violation.
+/// Runs the seed with these defects and returns the names of the violated rules, one for each violation. The
+/// argument `run` gives each test its own loopback addresses.
 async fn violated_rules(planted_defects: &[PlantedDefect], run: u8) -> Vec<&'static str> {
     use fault_soak::plan::FaultKind::{EndpointsFlaky, Kill};
     let options = Options {
--- a/crates/fault-soak/tests/reload.rs
+++ b/crates/fault-soak/tests/reload.rs
@@ -6,7 +6,7 @@
 
 use support::Fixture;
 
-/// Time after the signal within which the sender must use the new configuration.
+/// Time within which the sender must use the new configuration, from when the file is complete.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Guards against a reload that is lost because the file was only half written when the signal came.
--- a/crates/fault-soak/tests/soak.rs
+++ b/crates/fault-soak/tests/soak.rs
@@ -4,7 +4,9 @@
 use fault_soak::sender::find_executable;
 use fault_soak::soak::{run_plan, Options};
 
+/// Number of senders in the run.
 const SENDERS: usize = 4;
+/// Seed from which the plan of faults is drawn.
 const SEED: u64 = 3;
 
 /// Guards against violations of the protocol that show only when several kinds of faults overlap.
--- a/crates/fault-soak/tests/startup.rs
+++ b/crates/fault-soak/tests/startup.rs
@@ -31,7 +31,7 @@
     fixture
 }
 
-/// Guards against a start that ends because sockets cannot be created for a moment.
+/// Guards against a process that exits at its start because sockets cannot be created for a moment.
 #[tokio::test(flavor = "multi_thread")]
 async fn sockets_that_are_denied_for_a_moment_end_no_start() {
     let fixture = start_with_failing_calls(0, &[Syscall::Socket], EMFILE).await;
@@ -39,8 +39,8 @@
     fixture.await_delivery("m1", TIMEOUT).await;
 }
 
-/// Guards against a start that ends because files in the state folder cannot be opened, locked, read or
-/// removed for a moment. The start needs the lock, and must read the journal.
+/// Guards against a process that exits at its start because files in the state folder cannot be opened,
+/// locked, read or removed for a moment. It must keep trying, since it needs the lock and the journal.
 #[tokio::test(flavor = "multi_thread")]
 async fn files_that_are_denied_for_a_moment_end_no_start() {
     let calls = [Syscall::OpenFile, Syscall::Lock, Syscall::ReadFile, Syscall::Unlink];
@@ -73,8 +73,8 @@
     fixture.await_delivery("m2", TIMEOUT).await;
 }
 
-/// Guards against healthy endpoints that are ejected for seconds because the sender cannot create sockets on
-/// its own machine.
+/// Guards against healthy endpoints that are ejected for seconds because the sender, unable to create sockets
+/// on its own machine, counts that as a failure of the endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn sockets_that_are_denied_in_service_eject_no_endpoint() {
     let fixture = Fixture::start(3).await;
--- a/crates/fault-soak/tests/support/mod.rs
+++ b/crates/fault-soak/tests/support/mod.rs
@@ -20,6 +20,7 @@
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
+// Error numbers of Linux that the tests inject.
 pub const EINTR: i32 = 4;
 pub const EIO: i32 = 5;
 pub const EMFILE: i32 = 24;
--- a/crates/message-sender/tests/delivery.rs
+++ b/crates/message-sender/tests/delivery.rs
@@ -13,7 +13,8 @@
 use support::sender_process::SenderProcess;
 use support::TIMEOUT;
 
-/// Guards against calls that change the message's body or id, its idempotency key or the call's form.
+/// Guards against a call that alters the message's body, id or idempotency key, has another request line, or
+/// does not state the time left.
 #[test]
 fn message_is_forwarded_unchanged() {
     let environment = Environment::new(vec![OK]);
@@ -49,7 +50,8 @@
     let rejected = environment.endpoint.next_call();
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     let next = environment.endpoint.next_call();
-    // The call was read before the Retry-After was written: the measured interval includes the write.
+    // The endpoint read the rejected call before it wrote the Retry-After, so a correct sender's interval is
+    // never shorter than the Retry-After.
     assert!(
         next.received_at - rejected.received_at >= Duration::from_millis(1500),
         "{:?}",
--- a/crates/message-sender/tests/external_names.rs
+++ b/crates/message-sender/tests/external_names.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Determines how comments and literals are written.
+/// The language of a shipped file, which determines how comments and literals are written in it.
 #[derive(Clone, Copy, PartialEq)]
 enum Language {
     Rust,
@@ -161,8 +161,8 @@
     names.iter().copied().filter(|name| !sources.iter().any(|source| contains_name(source, name))).collect()
 }
 
-/// Other processes and operators rely on these names. After the rename of an identifier that serves as such a
-/// name, the code still compiles, and tests that use the renamed identifier still pass.
+/// Guards against renaming an identifier whose name other processes or operators rely on: the code still
+/// compiles, and tests that use the renamed identifier still pass.
 #[test]
 fn each_listed_name_stands_in_the_shipped_source() {
     let list = fs::read_to_string(workspace().join("docs/external-names.txt")).unwrap();
@@ -240,6 +240,8 @@
     assert_eq!(missing_names(&absent, &sources), absent);
 }
 
+/// Guards against searching for a remark or a blank line as a name, and against names that are altered when
+/// the list is read, for instance because they contain a space or a backslash.
 #[test]
 fn remarks_and_blank_lines_of_the_list_are_no_names() {
     let list = "# a remark\nhanded over\n\n  \nserving\\n\nsubject=\n/status\n";
--- a/crates/message-sender/tests/hostile_clients.rs
+++ b/crates/message-sender/tests/hostile_clients.rs
@@ -39,7 +39,8 @@
     }
 }
 
-/// Guards against clients that keep their connections open, so that new clients wait in the listen backlog.
+/// Guards against idle connections that occupy all connection slots, so that new clients wait in the listen
+/// backlog.
 #[test]
 fn idle_connections_do_not_exclude_other_clients() {
     let (environment, sender) = start();
--- a/crates/message-sender/tests/journal_compatibility.rs
+++ b/crates/message-sender/tests/journal_compatibility.rs
@@ -154,7 +154,8 @@
     assert_resumes(APPENDED, Idempotency::Never, false);
 }
 
-/// Guards against the same faults with the records that only a compaction writes.
+/// Guards against misreading the records that only a compaction writes: messages would be lost, or sent again
+/// or rejected although they may have taken effect in a class where repeats are harmful.
 #[test]
 fn a_compacted_journal_of_an_earlier_version_is_resumed() {
     assert_resumes(COMPACTED, Idempotency::Never, false);
@@ -176,8 +177,8 @@
         environment.discovery.reject_notices(10_000);
         let sender = environment.start_sender();
         environment.discovery.await_rejected_notice();
-        // Only these five messages may be sent to this endpoint: the three ambiguous messages and those with
-        // a pending notice may not.
+        // m13 must wait until the notice of m9, which has the same order key, is acknowledged. The other
+        // messages for destination 7 have already ended, or fail without a call.
         let calls = environment.calls(5);
         assert_eq!(calls.keys().collect::<Vec<_>>(), ["m1", "m14", "m2", "m3", "m4"]);
         std::thread::sleep(RESUMPTION_TIME);
--- a/crates/message-sender/tests/operator_api.rs
+++ b/crates/message-sender/tests/operator_api.rs
@@ -43,8 +43,8 @@
     assert_eq!(sender.management_status("POST", "/maintenance/exit", "s-1"), 200);
 }
 
-/// Guards against callers that send nothing and block others. There are 60 of them, far more than there are
-/// connection slots.
+/// Guards against callers that send nothing and block others, by occupying all 16 connection slots. The test
+/// opens 60 such connections.
 #[test]
 fn silent_callers_block_no_other_and_are_disconnected() {
     let environment = Environment::new(vec![OK]);
--- a/crates/message-sender/tests/restart.rs
+++ b/crates/message-sender/tests/restart.rs
@@ -266,7 +266,9 @@
 const UNATTEMPTED: usize = 12;
 
 /// Ends a process with this signal while [`UNATTEMPTED`] messages wait for a Retry-After, and starts another
-/// one, whose calls the endpoint answers by the script `then`. Returns how many of the messages it attempts.
+/// one, whose calls the endpoint answers by the script `then`. Unless `discovery_is_up`, the second process
+/// has a discovery server that answers no request for the list. Returns how many of the messages the second
+/// process attempts.
 fn attempted_after_recovery(signal: Signal, then: &[Reply], discovery_is_up: bool) -> usize {
     let script = [&[Reply::Answer("429 Busy\r\nX-Come-Back-Ms: 9000\r\n")], then].concat();
     let options = SenderOptions { idempotency: Idempotency::Never, ..SenderOptions::default() };
--- a/crates/message-sender/tests/support/client.rs
+++ b/crates/message-sender/tests/support/client.rs
@@ -41,7 +41,8 @@
         self.request(&submission(id, budget_ms, body)).expect("the sender did not answer").start_line
     }
 
-    /// Submits a message about a subject for destination 7; returns the status line of the answer.
+    /// Submits a message about a subject, which is its order key, for destination 7; returns the status line
+    /// of the answer.
     pub fn submit_about(&self, subject: &str, id: &str) -> String {
         let path = format!("/notice?subject={subject} ");
         let text = submission(id, 20_000, "x").replace("/notice ", &path);
--- a/crates/message-sender/tests/support/configuration.rs
+++ b/crates/message-sender/tests/support/configuration.rs
@@ -39,7 +39,7 @@
     pub sender_count: u32,
     /// Largest number of messages in the buffer.
     pub buffer_capacity: usize,
-    /// Whether messages about one subject keep their order.
+    /// Whether messages about one subject, which is their order key, are sent in order.
     pub is_ordered: bool,
     /// Name of the only tenant in the configuration.
     pub tenant: &'static str,
--- a/crates/message-sender/tests/support/mod.rs
+++ b/crates/message-sender/tests/support/mod.rs
@@ -16,5 +16,5 @@
 
 use std::time::Duration;
 
-/// Upper bound of every wait in the tests; only a faulty sender reaches it.
+/// Time limit for events that must occur; it passes only if the sender is faulty.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
