--- a/crates/fault-soak/tests/startup.rs
+++ b/crates/fault-soak/tests/startup.rs
@@ -12,7 +12,8 @@
 /// Time for which the system calls fail.
 const FAILURE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Kills a sender that has an open message, and restarts it while the calls fail for a moment.
+/// Starts a fixture with this number, kills its sender while a message is open, and restarts the sender while
+/// these system calls fail with `errno`, until [`FAILURE_TIME`] after the restart.
 async fn start_with_failing_calls(number: u8, calls: &[Syscall], errno: i32) -> Fixture {
     let fixture = Fixture::start(number).await;
     fixture.set_behaviour(1, Behaviour::Hanging);
--- a/crates/message-sender/tests/delivery.rs
+++ b/crates/message-sender/tests/delivery.rs
@@ -166,6 +166,7 @@
 /// as after a restart: the rate must follow the demand, not only what was sent.
 #[test]
 fn one_early_rejection_does_not_starve_a_destination() {
+    /// Number of messages that are submitted.
     const MESSAGES: usize = 40;
     let environment = Environment::new(vec![Reply::Answer("503 Busy\r\n"), OK]);
     let sender = environment.start_sender();
@@ -183,6 +184,7 @@
 /// answers to later calls must be cancelled before calls to an endpoint that may only be slow.
 #[test]
 fn call_whose_answer_is_lost_is_cancelled_soon() {
+    /// Number of messages that each endpoint confirms before answers are lost.
     const DELIVERED_BEFORE: usize = 20;
     let script = |then: &[Reply]| [vec![OK; DELIVERED_BEFORE], then.to_vec(), vec![OK]].concat();
     let losing =
--- a/crates/message-sender/tests/handover_compatibility.rs
+++ b/crates/message-sender/tests/handover_compatibility.rs
@@ -227,6 +227,7 @@
     frame
 }
 
+/// The frame, with its length prefix, by which a successor announces this protocol version.
 fn hello(protocol: u32) -> Vec<u8> {
     let payload = rmp_serde::to_vec_named(&BTreeMap::from([("relay", Some(protocol))])).unwrap();
     let length = (payload.len() as u32).to_le_bytes();
--- a/crates/message-sender/tests/upgrade.rs
+++ b/crates/message-sender/tests/upgrade.rs
@@ -23,6 +23,7 @@
 /// several consecutive upgrades under load.
 #[test]
 fn new_versions_take_over_under_load() {
+    /// Number of clients that submit messages at the same time.
     const CLIENTS: usize = 4;
     let options = SenderOptions { buffer_capacity: 500, ..SenderOptions::default() };
     let environment = Environment::with_options(vec![OK], options);
