--- a/crates/message-sender/tests/delivery.rs
+++ b/crates/message-sender/tests/delivery.rs
@@ -13,7 +13,8 @@
 use support::sender_process::SenderProcess;
 use support::TIMEOUT;
 
-/// Guards against calls that change the message's body or id, its idempotency key or the call's form.
+/// Guards against a call that alters the message's body, id or idempotency key, has another request line, or
+/// does not state the time left.
 #[test]
 fn message_is_forwarded_unchanged() {
     let environment = Environment::new(vec![OK]);
@@ -49,7 +50,8 @@
     let rejected = environment.endpoint.next_call();
     assert_eq!(sender.submit("m2", 20_000, "x"), ACCEPTED);
     let next = environment.endpoint.next_call();
-    // The call was read before the Retry-After was written: the measured interval includes the write.
+    // The endpoint read the rejected call before it wrote the Retry-After, so a correct sender's interval is
+    // never shorter than the Retry-After.
     assert!(
         next.received_at - rejected.received_at >= Duration::from_millis(1500),
         "{:?}",
@@ -164,6 +166,7 @@
 /// as after a restart: the rate must follow the demand, not only what was sent.
 #[test]
 fn one_early_rejection_does_not_starve_a_destination() {
+    /// Number of messages that are submitted.
     const MESSAGES: usize = 40;
     let environment = Environment::new(vec![Reply::Answer("503 Busy\r\n"), OK]);
     let sender = environment.start_sender();
@@ -181,6 +184,7 @@
 /// answers to later calls must be cancelled before calls to an endpoint that may only be slow.
 #[test]
 fn call_whose_answer_is_lost_is_cancelled_soon() {
+    /// Number of messages that each endpoint confirms before answers are lost.
     const DELIVERED_BEFORE: usize = 20;
     let script = |then: &[Reply]| [vec![OK; DELIVERED_BEFORE], then.to_vec(), vec![OK]].concat();
     let losing =
