--- a/crates/delivery-control/src/action.rs
+++ b/crates/delivery-control/src/action.rs
@@ -12,23 +12,24 @@
         id: MessageId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Timeout of this attempt.
+        /// Timeout of this attempt in µs, including the time to connect.
         timeout: Micros,
-        /// Latest time at which sending may begin; nothing is sent on a connection established later.
+        /// Latest time at which sending may begin, in µs on the host's clock. Nothing is sent on a connection
+        /// that is established later.
         start_deadline: Micros,
     },
     /// Cancel an attempt.
     Cancel {
         /// The message.
         id: MessageId,
-        /// Number of the attempt.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// Final answer: the message is rejected. It had no effect, or repeating it is harmless.
     Reject {
         /// The message.
         id: MessageId,
-        /// Time after which the client may submit the message again; 0 for no advice.
+        /// Time in µs after which the client may submit the message again; 0 for no advice.
         retry_after: Micros,
     },
     /// Final answer: the message failed. It was given up, and may or may not have taken effect.
@@ -38,9 +39,9 @@
     },
     /// Set a timer that reports [`crate::Event::TimerFired`].
     SetTimer {
-        /// When the timer fires.
+        /// When the timer fires, in µs on the host's clock.
         at: Micros,
-        /// Returned in the event.
+        /// Value that the event returns.
         token: u64,
     },
     /// Probe an endpoint.
@@ -67,6 +68,6 @@
     },
     /// Fetch the complete endpoint list once.
     FetchList,
-    /// Log why messages are past their latency objective.
+    /// Log a report on why messages are past their latency objective.
     ReportBacklog(BacklogReport),
 }
--- a/crates/delivery-control/src/controller.rs
+++ b/crates/delivery-control/src/controller.rs
@@ -16,14 +16,14 @@
     settings: Settings,
     #[serde(skip)]
     random: fastrand::Rng,
-    /// Time of the latest turn.
+    /// Time of the latest turn, in µs on the host's clock.
     now: Micros,
     state: State,
     quotas: TenantQuotas,
     rare_call_rate: RareCallRate,
     subscription: Subscription,
     backlog_reporter: BacklogReporter,
-    /// When the timer that was set last fires.
+    /// When the timer that was set last fires, in µs on the host's clock.
     timer_at: Micros,
 }
 
@@ -46,7 +46,7 @@
 
     /// Continues from the state that another process handed over. The settings must list the same classes,
     /// kinds, zones and tenants as the other process's, in the same order: the state and events refer to them
-    /// by index.
+    /// by index. All further random numbers come from `seed`.
     ///
     /// # Errors
     /// Returns an error that names the first setting that is not valid.
@@ -66,8 +66,8 @@
         self.state.view(self.context()).avoided_endpoint_count()
     }
 
-    /// Runs one turn at the time `now`: processes a batch of events and appends the resulting actions to
-    /// `actions`.
+    /// Runs one turn at the time `now`, in µs on the host's clock: processes a batch of events and appends
+    /// the resulting actions to `actions`.
     pub fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         let mut turn = Turn {
@@ -96,7 +96,8 @@
         Context { now: self.now, settings: &self.settings }
     }
 
-    /// Sets the host's timer for `due`, unless a timer that is already set fires by then.
+    /// Sets a timer of the host for `due`, or for the next microsecond if `due` has passed, unless the timer
+    /// that was set last fires by then.
     fn set_timer(&mut self, due: Micros, actions: &mut Vec<Action>) {
         let has_fired = self.timer_at <= self.now;
         if has_fired || due < self.timer_at {
--- a/crates/delivery-control/src/event.rs
+++ b/crates/delivery-control/src/event.rs
@@ -67,7 +67,7 @@
     pub kind: usize,
     /// Index of the endpoint's zone in the settings; one past the end if they do not list the zone.
     pub zone: usize,
-    /// When the endpoint came online, if that is known.
+    /// When the endpoint came online, in µs on the host's clock, if that is known.
     pub online_since: Option<Micros>,
 }
 
@@ -125,9 +125,9 @@
     pub tenant: Option<usize>,
     /// The destination to deliver the message to.
     pub destination: DestinationId,
-    /// Time left until the message's deadline.
+    /// Time left until the message's deadline, in µs.
     pub time_left: Micros,
-    /// Expected processing time at the destination, if known; it stretches the latency objective.
+    /// Expected processing time at the destination in µs, if known; it lengthens the latency objective.
     pub work: Option<Micros>,
     /// Messages of an ordered class with the same order key are delivered in order.
     pub order_key: Option<String>,
@@ -142,7 +142,7 @@
 /// The first attempt of a message that may have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AmbiguousAttempt {
-    /// When the attempt was sent.
+    /// When the attempt was sent, in µs on the host's clock.
     pub sent_at: Micros,
     /// Index of the zone of the endpoint that was called.
     pub zone: usize,
@@ -159,16 +159,16 @@
     pub endpoint: EndpointId,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time from the start of the attempt to its end.
+    /// Time from the start of the attempt to its end, in µs.
     pub elapsed: Micros,
     /// Whether the host began to send the request. If not, the attempt does not count towards the limit of
     /// attempts.
     pub was_started: bool,
     /// Whether the message has ended with this attempt.
     pub is_final: bool,
-    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
+    /// The Retry-After of a rejection, in µs from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
-    /// The load report that came with the response.
+    /// The load report that came with the response, if any.
     pub load_report: Option<LoadReport>,
 }
 
@@ -223,7 +223,7 @@
     ResponseStarted {
         /// The message.
         id: MessageId,
-        /// Number of the attempt.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
@@ -233,7 +233,7 @@
         /// The message.
         id: MessageId,
     },
-    /// A timer fired.
+    /// A timer fired. The event only has to cause a turn, which then does all work that is due.
     TimerFired {
         /// The token that the timer was set with.
         token: u64,
@@ -244,9 +244,9 @@
         endpoint: EndpointId,
         /// How the probe ended.
         outcome: AttemptOutcome,
-        /// Time from the start of the probe to its end.
+        /// Time from the start of the probe to its end, in µs.
         elapsed: Micros,
-        /// The load report that came with the response.
+        /// The load report that came with the response, if any.
         load_report: Option<LoadReport>,
     },
     /// Another sender sent a note.
--- a/crates/delivery-control/src/settings.rs
+++ b/crates/delivery-control/src/settings.rs
@@ -84,13 +84,13 @@
     pub idempotency: Idempotency,
     /// For [`Idempotency::WithKey`]: which endpoints share the record of keys.
     pub idempotency_scope: IdempotencyScope,
-    /// For [`Idempotency::WithKey`]: how long repeats are ignored, counted from the first ambiguous attempt.
+    /// For [`Idempotency::WithKey`]: how long repeats are ignored, in µs from the first ambiguous attempt.
     pub idempotency_window: Micros,
-    /// A message has its full value if it is delivered within this time after it was first submitted.
+    /// A message has its full value if it is delivered within this time in µs after it was first submitted.
     pub latency_objective: Micros,
     /// The latency objective grows by this multiple of the message's expected processing time.
     pub latency_objective_stretch: f64,
-    /// A message is given up this long after it was first submitted.
+    /// A message is given up this long, in µs, after it was first submitted.
     pub deadline: Micros,
     /// Value of a delivery within the latency objective.
     pub value: f64,
@@ -144,32 +144,33 @@
     pub may_hedge: bool,
     /// Whether clients are told when to submit a rejected message again.
     pub may_advise_retry: bool,
-    /// The longest Retry-After that clients honour.
+    /// The longest Retry-After that clients honour, in µs.
     pub max_retry_after: Micros,
-    /// Timeout for establishing a connection.
+    /// Timeout for establishing a connection, in µs.
     pub connect_timeout: Micros,
-    /// Idle time after which a connection is closed.
+    /// Idle time in µs after which a connection is closed.
     pub connection_idle: Micros,
 }
 
 /// Parameters of the protocol's rules.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Rules {
-    /// A final answer is accepted until this long after the deadline.
+    /// A final answer is accepted until this long, in µs, after the deadline.
     pub answer_slack: Micros,
-    /// A sender without a subscription is expected to know changes of the endpoint list that are this old.
+    /// A sender without a subscription is expected to know changes of the endpoint list that are this old, in
+    /// µs.
     pub poll_within: Micros,
-    /// Time within which new attempts to a draining or removed endpoint must cease.
+    /// Time in µs within which new attempts to a draining or removed endpoint must cease.
     pub drain_grace: Micros,
-    /// A cold destination fails if it is overloaded for this long.
+    /// A cold destination fails if it is overloaded for this long, in µs.
     pub overload_tolerance: Micros,
     /// A destination is overloaded if it receives more calls than this multiple of its current capacity.
     pub overload_factor: f64,
     /// Fraction of its full capacity that a destination has right after an outage.
     pub initial_capacity: f64,
-    /// Time after an outage until a destination has its full capacity again.
+    /// Time in µs after an outage until a destination has its full capacity again.
     pub warm_up_time: Micros,
-    /// How long an order key is quarantined after an attempt that may still be running at its endpoint.
+    /// How long in µs an order key is quarantined after an attempt that may still be running at its endpoint.
     pub quarantine_time: Micros,
 }
 
@@ -209,9 +210,9 @@
     pub sender_count: u32,
     /// Number of this sender in the fleet, counted from 0.
     pub ordinal: u32,
-    /// Index of this sender's zone.
+    /// Index of this sender's zone; one past the end if the settings do not list it.
     pub zone: usize,
-    /// Minimum time between turns.
+    /// Minimum time between turns, in µs.
     pub turn_interval: Micros,
     /// Limits and permissions of the host.
     pub limits: Limits,
--- a/crates/deployment-config/src/config.rs
+++ b/crates/deployment-config/src/config.rs
@@ -1,8 +1,9 @@
 //! Decoding of a sender's settings from JSON, and their conversion to the controller's [`Settings`].
 //!
 //! A sender's configuration file has this object as its `settings`, and the simulator's protocol as the
-//! `config` of an instance. Fields are named as in [`Settings`], where they are described; `serde` attributes
-//! give their keys in JSON. Durations are in milliseconds.
+//! `config` of an instance. Fields are named as in [`Settings`], where they are described, unless they have a
+//! comment here. `serde` attributes give their keys in JSON. Durations are in milliseconds, and their fields
+//! end in `_ms`.
 
 use delivery_control::{
     DestinationKind, DiscoveryMode, Idempotency, IdempotencyScope, Limits, MessageClass, Prices, Rules,
@@ -32,8 +33,11 @@
     tenants: Option<Vec<TenantConfig>>,
     #[serde(rename = "overShareWorth")]
     over_quota_value: Option<f64>,
+    /// `subscribe` for [`DiscoveryMode::Subscribe`]; any other text is [`DiscoveryMode::Push`].
     #[serde(rename = "membershipMode")]
     discovery: String,
+    /// `nominal` or `rough` if the weights in endpoint lists are rate limits; see
+    /// [`Settings::rates_are_listed`].
     #[serde(rename = "weights")]
     listed_weights: Option<String>,
     #[serde(rename = "resolutionMs")]
@@ -48,7 +52,9 @@
 #[derive(Deserialize)]
 struct ClassConfig {
     name: String,
+    /// Text for an [`Idempotency`].
     effect: String,
+    /// `all` or absent for [`IdempotencyScope::All`]; any other text is [`IdempotencyScope::Zone`].
     #[serde(rename = "dedupScope")]
     idempotency_scope: Option<String>,
     #[serde(rename = "windowMs")]
@@ -76,6 +82,7 @@
     per_endpoint_limits: Option<Vec<bool>>,
     #[serde(rename = "bundleMax")]
     max_batch_sizes: Option<Vec<usize>>,
+    /// `halves` for [`ValueDecay::Exponential`]; otherwise [`ValueDecay::Linear`].
     decay: Option<String>,
     #[serde(rename = "refusalCost")]
     rejection_price: Option<f64>,
@@ -160,8 +167,8 @@
         }
     }
 
-    /// Converts to the controller's settings. [`Settings::notices_are_acknowledged`] is false, so a message
-    /// ends as soon as the controller decides so: in the simulator, notices need no acknowledgement.
+    /// Converts to the controller's settings. [`Settings::notices_are_acknowledged`] is false, since notices
+    /// need no acknowledgement in the simulator; the message sender sets it to true.
     ///
     /// # Errors
     /// Returns an error if the `effect` of a class is not a known value.
@@ -222,7 +229,7 @@
         }
     }
 
-    /// Whether the weights in endpoint lists are rates in calls per second. Other weights, if any, are not.
+    /// Whether the weights in endpoint lists are rate limits in calls per second of all senders together.
     fn rates_are_listed(&self) -> bool {
         matches!(self.listed_weights.as_deref(), Some("nominal" | "rough"))
     }
--- a/crates/deployment-config/src/load_report.rs
+++ b/crates/deployment-config/src/load_report.rs
@@ -5,6 +5,8 @@
 
 use crate::time::MICROS_PER_MILLI;
 
+// Names of the values on the wire. The latency is in milliseconds there; the other values have the units of
+// the fields of `LoadReport`.
 const LIMIT_REMAINING: &str = "x0";
 const LIMIT: &str = "x1";
 const IN_FLIGHT: &str = "concurrent";
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -5,7 +5,8 @@
 use deployment_config::Names;
 use serde::Deserialize;
 
-/// One endpoint of an endpoint list.
+/// One endpoint of an endpoint list. The fields are those of [`EndpointEntry`], where they are described;
+/// kind and zone are given by name.
 #[derive(Deserialize)]
 pub struct ListedEndpoint {
     destination: u64,
@@ -16,6 +17,8 @@
     kind: Option<String>,
     #[serde(rename = "site")]
     zone: Option<String>,
+    /// When the endpoint came online, in milliseconds on the simulator's clock. Absent or not positive if
+    /// that is not known.
     #[serde(rename = "onlineSinceMs")]
     online_since_ms: Option<f64>,
     endpoint: u64,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -20,7 +20,8 @@
 }
 
 impl Host {
-    /// Handles one line, given without its line break; returns the reply if the line ends a batch.
+    /// Handles one line, given with its number, counted from 1, and without its line break. Returns the reply
+    /// if the line ends a batch.
     pub fn handle_line(&mut self, number: usize, line: &[u8]) -> Result<Option<String>, InputError> {
         self.lines_read = number;
         let handled =
--- a/crates/simulator-adapter/src/incoming.rs
+++ b/crates/simulator-adapter/src/incoming.rs
@@ -31,7 +31,7 @@
     NoteEncoding(#[from] base64::DecodeError),
 }
 
-/// A line from the simulator.
+/// A line from the simulator. Fields that end in `_ms` are in milliseconds.
 #[derive(Deserialize)]
 #[serde(tag = "event_type")]
 pub enum IncomingLine {
@@ -79,7 +79,7 @@
 /// The start of a batch.
 #[derive(Deserialize)]
 pub struct BatchStart {
-    /// Time of the batch on the simulator's clock.
+    /// Time of the batch on the simulator's clock, in milliseconds.
     #[serde(rename = "tMs")]
     time_ms: f64,
     /// Number of the batch, repeated in the last line of the reply.
@@ -127,7 +127,7 @@
     /// Which endpoints the list contains.
     #[serde(rename = "how")]
     pub kind: ListKind,
-    /// Version of the list.
+    /// Version of the list, if it has one.
     #[serde(rename = "gen")]
     pub version: Option<u64>,
     /// Number of the catalog that holds the endpoints; a list that could not be fetched needs none.
@@ -135,7 +135,8 @@
     pub catalog: Option<u64>,
 }
 
-/// A message that a client submitted.
+/// A message that a client submitted. Fields without a comment are described in [`MessageSubmission`]; class
+/// and tenant are given by name.
 #[derive(Deserialize)]
 pub struct MessageLine {
     /// Number of the instance.
@@ -184,7 +185,7 @@
     attempt: u32,
 }
 
-/// The end of an attempt.
+/// The end of an attempt. Fields without a comment are described in [`AttemptEnd`].
 #[derive(Deserialize)]
 pub struct AttemptEndLine {
     /// Number of the instance.
@@ -227,7 +228,7 @@
     token: u64,
 }
 
-/// The end of a probe.
+/// The end of a probe. Fields without a comment are described in [`Event::ProbeEnded`].
 #[derive(Deserialize)]
 pub struct ProbeEndLine {
     /// Number of the instance.
@@ -298,7 +299,7 @@
 }
 
 impl BatchStart {
-    /// The time of the batch.
+    /// The time of the batch, in µs on the simulator's clock.
     pub fn time(&self) -> Micros {
         micros_from_millis(self.time_ms)
     }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -97,7 +97,7 @@
     }
 
     /// Runs all instances that are due, in the order of their numbers, and returns the reply to the batch
-    /// with their actions. Removes instances whose controller panicked.
+    /// with their actions. `now` is the time of the batch in µs. Removes instances whose controller panicked.
     pub fn reply(&mut self, now: Micros, round: u64) -> String {
         let mut reply = String::new();
         self.0.retain(|number, instance| !instance.is_due || instance.turn(*number, now, &mut reply).is_ok());
--- a/crates/simulator-adapter/src/outgoing.rs
+++ b/crates/simulator-adapter/src/outgoing.rs
@@ -10,13 +10,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Target of a note to all senders on the wire; other targets are numbers of senders.
+/// Target of a note to all senders on the wire; other targets are the ordinals of single senders.
 const ALL_SENDERS: i64 = -1;
 
 /// Text reported for a panic whose payload is not a string.
 const NO_PANIC_MESSAGE: &str = "panic without text";
 
-/// A line to the simulator. Every variant except `Panic` and `ReplyEnd` represents an [`Action`].
+/// A line to the simulator. Every variant except `Panic` and `ReplyEnd` represents an [`Action`], which
+/// describes the fields. Fields that end in `_ms` are in milliseconds.
 #[derive(Serialize)]
 #[serde(tag = "event_type")]
 enum OutgoingLine<'a> {
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -29,7 +29,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// The lines of a batch with these events, at a time in milliseconds.
+/// The lines of a batch with this number, time in milliseconds and events.
 fn batch(number: u32, at_ms: f64, events: &[String]) -> String {
     let begin = format!("{{\"event_type\":\"round\",\"tMs\":{at_ms},\"round\":{number}}}\n");
     let mut events = events.join("\n");
@@ -69,7 +69,8 @@
     )
 }
 
-/// The line that reports to instance 1 how the first attempt of a message ended.
+/// The line that reports to instance 1 how the first attempt of a message ended. `extra` is empty or a comma
+/// and further JSON fields.
 fn attempt_ended(id: u32, code: &str, extra: &str) -> String {
     format!(
         "{{\"event_type\":\"completed\",\"i\":1,\"req\":{id},\"endpoint\":70,\"attempt\":0,\"last\":false,\
