--- a/crates/fault-soak/src/planted.rs
+++ b/crates/fault-soak/src/planted.rs
@@ -70,7 +70,7 @@
     }));
 }
 
-/// Records that the first sender was told, early in the load, to drain the endpoint that it calls most.
+/// Records that the first sender was asked, early in the load, to drain the endpoint that it calls most.
 fn drain_busiest_endpoint(records: &mut Records) {
     let sender = 0;
     let is_own = |call: &&EndpointCall| {
--- a/crates/fault-soak/src/sender.rs
+++ b/crates/fault-soak/src/sender.rs
@@ -225,7 +225,7 @@
     }
 
     /// Sends SIGTERM, and SIGKILL if the process has not ended in time. That is an incident unless the sender
-    /// was paused meanwhile, as a paused process cannot end.
+    /// was paused in that time, as a paused process cannot end.
     async fn end_gracefully(&self, process: &Process, incident: &str) {
         let pauses_before = self.pauses[1].load(Ordering::Relaxed);
         process.signal(Signal::TERM);
--- a/crates/message-sender/src/config/tests.rs
+++ b/crates/message-sender/src/config/tests.rs
@@ -44,8 +44,8 @@
     assert_eq!(decode(&file).expect("valid configuration").seed, 17);
 }
 
-/// Guards against sending the next message of an order key before the platform has been told how the previous
-/// one ended.
+/// Guards against sending the next message of an order key before the platform has acknowledged the notice of
+/// how the previous one ended.
 #[test]
 fn a_message_ends_once_its_notice_is_acknowledged() {
     assert!(decode(&file()).expect("valid configuration").settings.notices_are_acknowledged);
--- a/crates/message-sender/src/delivery/request.rs
+++ b/crates/message-sender/src/delivery/request.rs
@@ -13,8 +13,8 @@
 /// Header with the attempt's timeout, in milliseconds.
 const BUDGET_MS: HeaderName = HeaderName::from_static("x-budget-ms");
 
-/// A request whose length on the wire is known, so that it can be told whether the request was written in
-/// full.
+/// A request whose length on the wire is known, so that the caller can determine whether the request
+/// was written in full.
 pub struct PreparedRequest {
     headers: HeaderMap,
     body: Bytes,
--- a/crates/message-sender/src/event_loop/audit.rs
+++ b/crates/message-sender/src/event_loop/audit.rs
@@ -16,12 +16,12 @@
 /// Time between two audits of all open messages.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(1);
 /// Grace period after the process starts or resumes from a suspension, in which it ends the messages that
-/// came due meanwhile. Late ends are not reported during this period, and no audit is made.
+/// came due while it did not run. Late ends are not reported during this period, and no audit is made.
 const RECOVERY_GRACE: Duration = Duration::from_millis(1_500);
 /// A wake-up that is late by more than this means that the process was suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(200);
 
-/// What the guard is told about a message. The class's idempotency rules are looked up in the settings.
+/// What the guard must know about a message. The class's idempotency rules are looked up in the settings.
 pub struct GuardRegistration {
     /// Index of its class in the settings.
     pub class: usize,
--- a/crates/message-sender/src/event_loop/completion.rs
+++ b/crates/message-sender/src/event_loop/completion.rs
@@ -13,7 +13,7 @@
 
 impl EventLoop {
     /// Ends a message for which the platform needs no notice. An outcome of `None` is not counted; it stands
-    /// for a message whose client was never told that the message was accepted.
+    /// for a message whose client never got the reply that the message was accepted.
     pub(super) fn end_without_notice(&mut self, id: MessageId, outcome: Option<MessageOutcome>) {
         if self.close_message(id, outcome).is_some() {
             self.check_end(id, false);
@@ -23,7 +23,7 @@
     }
 
     /// Ends a message with a notice to the platform. If the message is not open any more, its client got the
-    /// rejection as the reply to its submission: the controller is told that the notice was acknowledged.
+    /// rejection as the reply to its submission: the controller gets the event of an acknowledged notice.
     pub(super) fn end_with_notice(&mut self, id: MessageId, result: NoticeResult) {
         let outcome = match result {
             NoticeResult::Rejected { .. } => MessageOutcome::Rejected,
--- a/crates/message-sender/src/event_loop/inputs.rs
+++ b/crates/message-sender/src/event_loop/inputs.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Handles the events that are queued now, but none that arrive meanwhile: a flood of events would
-    /// otherwise keep delaying the turn.
+    /// Handles the events that are queued now, but none that arrive while it does so: a flood of events
+    /// would otherwise keep delaying the turn.
     pub(super) fn handle_queued_events(&mut self, inputs: &mut EventLoopInputs<'_>) {
         for _ in 0..inputs.events.len() {
             if let Ok(event) = inputs.events.try_recv() {
--- a/crates/message-sender/src/event_loop/tests.rs
+++ b/crates/message-sender/src/event_loop/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(clock.now(), now - 2_000_000);
 }
 
-/// Guards against deadlines that shift at a restart, because the system's time was set meanwhile.
+/// Guards against deadlines that shift at a restart, because the system's time was set in between.
 #[tokio::test(start_paused = true)]
 async fn a_clock_goes_on_from_the_last_reading_of_the_same_boot() {
     let machine = |boot_id: &str, monotonic| MachineTime { boot_id: boot_id.to_owned(), monotonic };
--- a/crates/message-sender/src/event_loop/turn.rs
+++ b/crates/message-sender/src/event_loop/turn.rs
@@ -10,7 +10,7 @@
 use crate::notice::NoticeResult;
 
 impl EventLoop {
-    /// Runs a turn of the controller. Clients are told whether their message was accepted before any action
+    /// Runs a turn of the controller. Clients learn whether their message was accepted before any action
     /// is executed, so that messages whose clients have disconnected are withdrawn by then.
     pub(super) fn turn(&mut self) {
         let now = self.clock.now();
--- a/crates/message-sender/src/journal/writer.rs
+++ b/crates/message-sender/src/journal/writer.rs
@@ -26,7 +26,7 @@
 ///
 /// While the file cannot be written, the state is ahead of it: outcomes of attempts and messages are kept in
 /// `unwritten` until they can be appended. Steps that must be recorded before they are taken, such as
-/// accepting a message, are refused meanwhile.
+/// accepting a message, are refused until then.
 pub struct Journal {
     file: JournalFile,
     /// Limits of the file's length.
@@ -140,7 +140,7 @@
         self.append_within_hard_limit(Record::EndpointRestored(name.to_owned()))
     }
 
-    /// Records that a message is accepted. Its client must not be told so before this returns.
+    /// Records that a message is accepted. Its client must not get that reply before this returns.
     pub fn record_accepted(&mut self, id: MessageId, message: AcceptedMessage) -> Result<(), JournalError> {
         if self.state.open_bytes() + reserved_bytes(&message) > self.budget.open_messages() {
             return Err(JournalError::Full);
--- a/crates/message-sender/tests/submission.rs
+++ b/crates/message-sender/tests/submission.rs
@@ -41,7 +41,7 @@
 }
 
 /// Guards against sending a message that its client withdrew by closing the connection before the answer. The
-/// sender is suspended meanwhile, so that it sees the request and the end of the connection at once.
+/// sender is suspended during that time, so that it sees the request and the end of the connection at once.
 #[test]
 fn client_that_closes_before_its_answer_withdraws_the_message() {
     let environment = Environment::new(vec![OK]);
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -146,7 +146,7 @@
 }
 
 /// Guards against state that instances of one process share: an instance must act the same with and without a
-/// second one beside it.
+/// second one in the same process.
 #[test]
 fn instances_share_no_state() {
     let both =
