--- a/crates/delivery-control/src/admission.rs
+++ b/crates/delivery-control/src/admission.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Value of a message that is delivered at the time `at`.
+/// Value of a message that is delivered at the time `at`, in µs on the host's clock.
 pub(crate) fn value_at(context: Context, message: &Message, at: Micros) -> f64 {
     let class = context.class(message);
     let lateness = at - message.objective_at;
--- a/crates/delivery-control/src/backlog.rs
+++ b/crates/delivery-control/src/backlog.rs
@@ -27,7 +27,7 @@
     pub sent_last_second: f64,
     /// Listed rate limit of the route in calls per second of all senders together.
     pub listed_rate_limit: Option<f64>,
-    /// Time until the Retry-After of the route ends; 0 if there is none.
+    /// Time in µs until the Retry-After of the route ends; 0 if there is none.
     pub retry_after: Micros,
     /// Health of the endpoint.
     pub health: EndpointHealth,
--- a/crates/delivery-control/src/diagnostics.rs
+++ b/crates/delivery-control/src/diagnostics.rs
@@ -17,7 +17,7 @@
 /// Reports the longest backlogs whose oldest message is past its latency objective.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct BacklogReporter {
-    /// When backlogs were last reported.
+    /// When backlogs were last reported, in µs on the host's clock.
     reported_at: Micros,
 }
 
--- a/crates/delivery-control/src/invariants.rs
+++ b/crates/delivery-control/src/invariants.rs
@@ -62,12 +62,12 @@
     ];
 }
 
-/// What the guard is told about a message when the message is accepted or recovered.
+/// What the guard must know about a message when the message is accepted or recovered.
 #[derive(Debug, Clone)]
 pub struct GuardedMessage {
     /// The destination of the message.
     pub destination: DestinationId,
-    /// Time by which the message must have ended.
+    /// Time by which the message must have ended, in µs on the host's clock.
     pub deadline: Micros,
     /// Whether the message may be sent again after an attempt that may have taken effect.
     pub idempotency: Idempotency,
@@ -104,6 +104,7 @@
 /// An attempt in flight, with its send time and zone.
 #[derive(Debug, Clone, Copy)]
 struct InFlightAttempt {
+    /// Number of the attempt, counted from 0.
     attempt: u32,
     at: AmbiguousAttempt,
 }
--- a/crates/delivery-control/src/model/choice.rs
+++ b/crates/delivery-control/src/model/choice.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// `NotBefore` if the time `at` is yet to come, otherwise `Now`.
+    /// `NotBefore` if the time `at`, in µs on the host's clock, is yet to come, otherwise `Now`.
     pub fn not_before(at: Micros, now: Micros) -> Self {
         if at > now {
             Eligibility::NotBefore(at)
@@ -48,7 +48,7 @@
     pub id: MessageId,
     /// Value that is lost by waiting, divided by the µs for which the message is expected to use its permit.
     pub urgency: f64,
-    /// When the message's latency objective ends; breaks ties.
+    /// When the message's latency objective ends, in µs on the host's clock; breaks ties.
     pub objective_at: Micros,
 }
 
@@ -57,7 +57,8 @@
 pub(crate) struct EndpointChoice {
     /// The cheapest endpoint to which the message may be sent now.
     pub endpoint: Option<EndpointId>,
-    /// Earliest time at which one of the endpoints that are not eligible yet may become eligible.
+    /// Earliest time at which one of the endpoints that are not eligible yet may become eligible, in µs on
+    /// the host's clock.
     pub retry_at: Option<Micros>,
     /// Whether an endpoint would be eligible if a permit were free.
     pub lacks_permit: bool,
@@ -66,7 +67,7 @@
 /// A message that may be shed, which means that it is rejected before its deadline.
 pub(crate) struct ShedCandidate {
     pub id: MessageId,
-    /// Time after which its destination is expected to have worked off its backlog.
+    /// Time in µs after which its destination is expected to have worked off its backlog.
     pub retry_after: Micros,
     /// Value that a delivery after that time would have.
     pub value: f64,
@@ -76,7 +77,7 @@
 /// ejected.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StuckAttempt {
-    /// Time after which the attempt may be cancelled.
+    /// Time after which the attempt may be cancelled, in µs on the host's clock.
     pub overdue_at: Micros,
     pub key: AttemptKey,
 }
--- a/crates/delivery-control/src/model/endpoint.rs
+++ b/crates/delivery-control/src/model/endpoint.rs
@@ -20,14 +20,14 @@
 /// State of an ejected endpoint, which gets probes only.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Ejection {
-    /// Estimated start of the outage.
+    /// Estimated start of the outage, in µs on the host's clock.
     pub since: Micros,
     /// Whether the outage is certain: a call failed or was rejected, or an operator drained the endpoint.
     /// `false` if calls have merely had no response yet.
     pub confirmed: bool,
-    /// Latest interval between probes, before jitter; 0 if there has been no interval yet.
+    /// Latest interval between probes in µs, before jitter; 0 if there has been no interval yet.
     pub probe_interval: Micros,
-    /// Earliest time of the next probe.
+    /// Earliest time of the next probe, in µs on the host's clock.
     pub next_probe_at: Micros,
     /// The probe in flight, if any.
     pub probe: Option<CallId>,
@@ -49,11 +49,11 @@
 /// State of an endpoint that came back from an outage and may be cold.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SlowStart {
-    /// When the endpoint came back.
+    /// When the endpoint came back, in µs on the host's clock.
     pub since: Micros,
     /// Estimated number of senders that had messages for the endpoint when it came back.
     pub competing_senders: f64,
-    /// Earliest time of this sender's next call.
+    /// Earliest time of this sender's next call, in µs on the host's clock.
     pub next_call_at: Micros,
 }
 
@@ -100,12 +100,12 @@
     pub latency: f64,
     /// Number of failures since the last delivery. Timeouts of calls that were merely slow do not count.
     pub consecutive_failures: u32,
-    /// When the latest response arrived.
+    /// When the latest response arrived, in µs on the host's clock.
     pub answered_at: Option<Micros>,
-    /// When the latest delivery was confirmed.
+    /// When the latest delivery was confirmed, in µs on the host's clock.
     pub delivered_at: Option<Micros>,
     pub health: Health,
-    /// For each idle connection, since when it has been idle.
+    /// For each idle connection, since when it has been idle, in µs on the host's clock.
     pub idle_connections: Vec<Micros>,
 }
 
@@ -123,13 +123,13 @@
         self.delivered_at = Some(now);
     }
 
-    /// Whether a connection has been idle for less than `idle_limit`, and so has not been closed.
+    /// Whether a connection has been idle for less than `idle_limit` µs, and so has not been closed.
     pub fn has_idle_connection(&self, now: Micros, idle_limit: Micros) -> bool {
         self.idle_connections.iter().any(|since| now - since < idle_limit)
     }
 
-    /// Takes an idle connection, if there is one, and removes those that have been idle for `idle_limit` and
-    /// so have been closed.
+    /// Takes an idle connection, if there is one, and removes those that have been idle for `idle_limit` µs
+    /// and so have been closed.
     pub fn take_connection(&mut self, now: Micros, idle_limit: Micros) {
         self.idle_connections.retain(|since| now - since < idle_limit);
         self.idle_connections.pop();
--- a/crates/delivery-control/src/model/endpoints.rs
+++ b/crates/delivery-control/src/model/endpoints.rs
@@ -15,14 +15,14 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
     rate_limits: BTreeMap<RouteKey, RateLimit>,
-    /// Endpoints that an operator drained, and since when.
+    /// Endpoints that an operator drained, and since when, in µs on the host's clock.
     manually_drained: BTreeMap<EndpointId, Micros>,
-    /// Endpoints that are not available, and since when. They are kept until nothing about them has to be
-    /// remembered.
+    /// Endpoints that are not available, and since when, in µs on the host's clock. They are kept until
+    /// nothing about them has to be remembered.
     departed: BTreeMap<EndpointId, Micros>,
     /// Number of messages submitted since `counting_since` for all destinations.
     arrivals: f64,
-    /// When the count of submitted messages started.
+    /// When the count of submitted messages started, in µs on the host's clock.
     counting_since: Option<Micros>,
 }
 
--- a/crates/delivery-control/src/model/in_flight.rs
+++ b/crates/delivery-control/src/model/in_flight.rs
@@ -15,6 +15,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct AttemptKey {
     pub message: MessageId,
+    /// Counted from 0.
     pub number: u32,
 }
 
@@ -23,6 +24,7 @@
 pub(crate) struct Attempt {
     pub endpoint: EndpointId,
     pub call: CallId,
+    /// In µs on the host's clock.
     pub sent_at: Micros,
     /// Whether the host was asked to cancel it.
     pub cancelled: bool,
@@ -36,9 +38,10 @@
     pub endpoint: EndpointId,
     /// Index of the endpoint's zone; `usize::MAX` if the endpoint is no longer known.
     pub zone: usize,
+    /// In µs on the host's clock.
     pub sent_at: Micros,
     pub outcome: AttemptOutcome,
-    /// The Retry-After of a rejection, counted from the end of the attempt; 0 if there was none.
+    /// The Retry-After of a rejection, in µs from the end of the attempt; 0 if there was none.
     pub retry_after: Micros,
 }
 
@@ -60,6 +63,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Call {
     pub endpoint: EndpointId,
+    /// In µs on the host's clock.
     pub sent_at: Micros,
     /// Number of attempts in the call that have no outcome yet.
     pending_outcomes: usize,
--- a/crates/delivery-control/src/model/key_queues.rs
+++ b/crates/delivery-control/src/model/key_queues.rs
@@ -9,6 +9,7 @@
 /// A time during which only one message of an order key may be sent.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Quarantine {
+    /// When it ends, in µs on the host's clock.
     until: Micros,
     /// The message that may be sent.
     exempt: MessageId,
@@ -73,7 +74,8 @@
         self.queues.get(key).is_some_and(|queue| queue.messages.contains(&id))
     }
 
-    /// When the quarantine of a message's order key ends; 0 if there is none or the message is exempt.
+    /// When the quarantine of a message's order key ends, in µs on the host's clock; 0 if there is none or
+    /// the message is exempt.
     pub fn quarantined_until(&self, key: Option<&String>, id: MessageId) -> Micros {
         let quarantine = self.get(key).and_then(|queue| queue.quarantine);
         quarantine.filter(|quarantine| quarantine.exempt != id).map_or(0, |quarantine| quarantine.until)
--- a/crates/delivery-control/src/model/message.rs
+++ b/crates/delivery-control/src/model/message.rs
@@ -18,8 +18,9 @@
     pub order_key: Option<String>,
     /// Value of a delivery within the latency objective.
     pub value: f64,
-    /// When the latency objective ends; a later delivery has less value.
+    /// When the latency objective ends, in µs on the host's clock; a later delivery has less value.
     pub objective_at: Micros,
+    /// In µs on the host's clock.
     pub deadline: Micros,
     /// Number of attempts made so far; the next attempt gets this number.
     pub attempts: u32,
@@ -36,7 +37,7 @@
     pub streaming: bool,
     /// The first attempt that may have taken effect.
     pub first_ambiguous: Option<AmbiguousAttempt>,
-    /// Earliest time of the next attempt.
+    /// Earliest time of the next attempt, in µs on the host's clock.
     pub ready_at: Micros,
     /// Whether the endpoint rejected the latest attempt that has ended.
     pub rejected: bool,
@@ -63,6 +64,7 @@
 /// A time at which to check whether a message must end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct EndCheck {
+    /// In µs on the host's clock.
     at: Micros,
     message: MessageId,
 }
@@ -105,7 +107,8 @@
         self.end_checks.insert(EndCheck { at, message: id });
     }
 
-    /// Removes the earliest check if it is due, and returns its message, which may have ended meanwhile.
+    /// Removes the earliest check if it is due, and returns its message, which may have ended since the check
+    /// was scheduled.
     pub fn take_due_end_check(&mut self, now: Micros) -> Option<MessageId> {
         let first = self.end_checks.first().copied().filter(|check| check.at <= now)?;
         self.end_checks.remove(&first);
--- a/crates/delivery-control/src/model/mod.rs
+++ b/crates/delivery-control/src/model/mod.rs
@@ -28,7 +28,7 @@
 /// Microseconds in a second.
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// What every policy may read: the time of the turn and the settings.
+/// What every policy may read: the time of the turn, in µs on the host's clock, and the settings.
 #[derive(Clone, Copy)]
 pub(crate) struct Context<'a> {
     pub now: Micros,
--- a/crates/delivery-control/src/model/policy_state.rs
+++ b/crates/delivery-control/src/model/policy_state.rs
@@ -9,7 +9,7 @@
 pub(crate) struct TokenBucket {
     /// Number of messages that are still within the quota.
     pub tokens: f64,
-    /// When tokens were last added.
+    /// When tokens were last added, in µs on the host's clock.
     pub filled_at: Micros,
 }
 
@@ -30,8 +30,8 @@
 /// The subscription of a sender that gets changes of the endpoint list only on a subscription.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct Subscription {
-    /// When to subscribe next, unless an endpoint list arrives before then; `None` while the subscription
-    /// works or none is needed.
+    /// When to subscribe next, in µs on the host's clock, unless an endpoint list arrives before then;
+    /// `None` while the subscription works or none is needed.
     pub next_attempt_at: Option<Micros>,
     /// Failures in a row, up to the number that still lengthens the backoff.
     pub failures: u32,
--- a/crates/delivery-control/src/model/rate_limit.rs
+++ b/crates/delivery-control/src/model/rate_limit.rs
@@ -15,7 +15,7 @@
 
 /// A rejection by a route, with the values that determine the decrease of the rate.
 pub(crate) struct Rejection {
-    /// The Retry-After, counted from the rejection; 0 if there was none.
+    /// The Retry-After, in µs from the rejection; 0 if there was none.
     pub retry_after: Micros,
     /// Number of senders in the fleet.
     pub sender_count: f64,
@@ -30,15 +30,15 @@
 /// Rate limit that this sender applies to one route.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(crate) struct RateLimit {
-    /// End of the Retry-After: no call is made before it.
+    /// End of the Retry-After, in µs on the host's clock: no call is made before it.
     retry_after_until: Micros,
     /// Rate of this sender in calls per second; `None` if it is unlimited.
     pub rate: Option<f64>,
-    /// When the rate permits the next call.
+    /// When the rate permits the next call, in µs on the host's clock.
     pub next_permit_at: Micros,
-    /// When the rate was last decreased because of a rejection.
+    /// When the rate was last decreased because of a rejection, in µs on the host's clock.
     pub decreased_at: Option<Micros>,
-    /// Times of the recent calls of this sender, the oldest first.
+    /// Times of the recent calls of this sender, in µs on the host's clock, the oldest first.
     pub sent: Vec<Micros>,
     /// Limit in the endpoint list, in calls per second of all senders together.
     listed_limit: Option<f64>,
@@ -47,12 +47,12 @@
     /// Number of rejections since the last delivery. A rejection that the reported limit does not explain
     /// counts as half of the number that is taken for an outage.
     pub consecutive_rejections: u32,
-    /// When the first of these rejections came.
+    /// When the first of these rejections came, in µs on the host's clock.
     pub rejected_since: Micros,
 }
 
 impl RateLimit {
-    /// End of the Retry-After: no call is made before it.
+    /// End of the Retry-After, in µs on the host's clock: no call is made before it.
     pub fn retry_after_until(&self) -> Micros {
         self.retry_after_until
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Number of calls made within the last `span`.
+    /// Number of calls made within the last `span` µs.
     pub fn sent_within(&self, now: Micros, span: Micros) -> f64 {
         self.sent.iter().filter(|at| now - **at <= span).count() as f64
     }
--- a/crates/delivery-control/src/model/wake_ups.rs
+++ b/crates/delivery-control/src/model/wake_ups.rs
@@ -9,6 +9,7 @@
 /// A time at which to check a destination.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct WakeUp {
+    /// In µs on the host's clock.
     at: Micros,
     destination: DestinationId,
 }
--- a/crates/fault-soak/src/client.rs
+++ b/crates/fault-soak/src/client.rs
@@ -49,6 +49,7 @@
 
 /// A client that uses one connection at a time.
 pub struct Client {
+    /// Index of the sender that it submits to.
     sender: usize,
     /// Number of the client among the clients of its sender.
     number: usize,
--- a/crates/message-sender/src/delivery/saturation.rs
+++ b/crates/message-sender/src/delivery/saturation.rs
@@ -23,6 +23,7 @@
 #[derive(Debug)]
 pub struct SaturationTracker {
     saturated_at: HashMap<EndpointId, Instant>,
+    /// Share of the maximum idle time for which connections are kept, at most 1.
     idle_time_scale: f64,
 }
 
--- a/crates/message-sender/src/delivery/send_restrictions.rs
+++ b/crates/message-sender/src/delivery/send_restrictions.rs
@@ -69,8 +69,8 @@
         self.drained_at.borrow().get(&endpoint).is_some_and(|drained_at| *drained_at >= decided_at)
     }
 
-    /// Forbids attempts on a route for `retry_after` from now on, unless a later deadline is already in
-    /// force.
+    /// Forbids attempts on a route for `retry_after` microseconds from now on, unless a later deadline is
+    /// already in force.
     pub fn record_retry_after(&self, route: Route, retry_after: Micros) {
         if retry_after <= 0 {
             return;
--- a/crates/message-sender/src/handover/state.rs
+++ b/crates/message-sender/src/handover/state.rs
@@ -20,7 +20,8 @@
     pub controller: Controller,
     /// The endpoints, with the ids by which the controller knows them.
     pub registry: RegistrySnapshot,
-    /// The controller's timers: when each is due, on the same clock as `now`, and its token.
+    /// The controller's timers: when each is due, in microseconds on the same clock as `now`, and its
+    /// token.
     pub timers: Vec<(Micros, u64)>,
     /// The attempts in flight, which the predecessor continues until they end.
     pub in_flight: Vec<AttemptId>,
--- a/crates/message-sender/src/journal/record.rs
+++ b/crates/message-sender/src/journal/record.rs
@@ -85,6 +85,7 @@
     pub(super) key: Option<String>,
     pub(super) class: String,
     pub(super) destination: DestinationId,
+    /// In microseconds of the journal's clock.
     pub(super) deadline: Micros,
     pub(super) body: Body,
 }
